--- a/bronzerelay/pooler/catchup.py
+++ b/bronzerelay/pooler/catchup.py
@@ -44,12 +44,12 @@
         self._log = log
         self._behind_since_ms: float | None = None
 
-    def tend(self) -> None:
+    def check_peers(self) -> None:
         """Take a peer's mirror when it has been ahead of this one for a while."""
         ahead = [
             view
             for view in self._gossip.views.values()
-            if view.mirror_at > self._mirror.at
+            if view.store_revision > self._mirror.revision
         ]
         now_ms = self._clock.now_ms()
         if self._mirror.loaded and not ahead:
@@ -71,7 +71,7 @@
     def fetch(self, address: Address) -> bool:
         """Take over what a peer knows beyond this mirror; return whether it told."""
         client = HttpClient(self._runtime, address)
-        path = f"{MIRROR_PATH}?{AFTER}={self._mirror.at}"
+        path = f"{MIRROR_PATH}?{AFTER}={self._mirror.revision}"
         try:
             answer = client.call("GET", path, b"", PEER_CALL_MS)
             if answer.status != 200:
--- a/bronzerelay/pooler/daemon.py
+++ b/bronzerelay/pooler/daemon.py
@@ -11,15 +11,9 @@
 
 from bronzerelay.env import ADVISED_SWITCH_INTERVAL_S
 from bronzerelay.pooler.catchup import MIRROR_PATH, CatchUp, read_after
-from bronzerelay.pooler.changes import (
-    LEAD_PREFIX,
-    FleetView,
-    LeadChanges,
-    Promoter,
-)
 from bronzerelay.pooler.contacts import Peer
 from bronzerelay.pooler.counters import Counters
-from bronzerelay.pooler.directory import Directory, LeadRecord
+from bronzerelay.pooler.directory import Directory, PrimaryRecord
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.fleetconfig import FleetConfig, InstanceEntry
 from bronzerelay.pooler.fleetrates import FleetRates
@@ -30,12 +24,18 @@
     HttpAnswer,
     PageServer,
 )
-from bronzerelay.pooler.leadership import LeadGuard
 from bronzerelay.pooler.links import LinkPool
 from bronzerelay.pooler.members import Members
 from bronzerelay.pooler.messages import LineCodec
 from bronzerelay.pooler.mirror import Item, Mirror, Store
 from bronzerelay.pooler.placement import Placement
+from bronzerelay.pooler.primarychanges import (
+    PRIMARY_RECORD_PREFIX,
+    FleetView,
+    PrimaryChangeCoordinator,
+    Promoter,
+)
+from bronzerelay.pooler.primaryguard import PrimaryGuard
 from bronzerelay.pooler.runner import Runner
 from bronzerelay.pooler.session import CallerSession, Services
 from bronzerelay.runtime import (
@@ -138,7 +138,7 @@
             self.gossip,
             self.log,
         )
-        self.guard = LeadGuard(runtime, self.directory)
+        self.guard = PrimaryGuard(runtime, self.directory)
         self.heartbeats = Heartbeats(
             runtime,
             settings.name,
@@ -179,7 +179,7 @@
             self.counters,
             self.log,
         )
-        self.changes = LeadChanges(
+        self.changes = PrimaryChangeCoordinator(
             runtime,
             settings.name,
             self.directory,
@@ -188,7 +188,7 @@
             FleetView(
                 self.members.list_names,
                 self.heartbeats.list_acknowledged,
-                self.members.outvotes,
+                self.members.is_quorum,
                 self.heartbeats.list_silent_since,
             ),
             self.runner.ask_status,
@@ -197,12 +197,12 @@
             self.counters,
             self.log,
         )
-        self.mirror.wants_proof = self.guard.needs_store
-        self.mirror.note_proof = self.guard.note_store
-        self.mirror.goes_by_relay = self.heartbeats.has_relay
-        self.mirror.note_change = self.heartbeats.tell_change
+        self.mirror.wants_proof = self.guard.needs_store_proof
+        self.mirror.on_proof = self.guard.add_store_proof
+        self.mirror.follows_relay = self.heartbeats.has_relay
+        self.mirror.on_change = self.heartbeats.announce_store_change
         self.mirror.fetch = self.catch_up.fetch
-        self.guard.note_quiet = self.heartbeats.tell_quiet
+        self.guard.on_idle = self.heartbeats.announce_idle
         self.reload_wanted = False
         self.stopping: Signal = runtime.make_signal()
         self.is_stopping = False
@@ -229,7 +229,7 @@
             not self.is_stopping
             and self.directory.config is not None
             # Cut off it could serve little, and others serve its callers.
-            and self.guard.refuse_cut_off() is None
+            and self.guard.refuse_if_isolated() is None
             and bool(self.directory.instances)
         )
 
@@ -250,7 +250,7 @@
             "instances": len(self.directory.instances),
             "members": len(self.members.list_names()),
             "sessions": len(self._sessions),
-            "store_revision": self.mirror.at,
+            "store_revision": self.mirror.revision,
             "store_age_ms": round(self.mirror.store_age_ms()),
             "links_opened": self.pool.opened,
             "heartbeat_bytes": self.gossip.bytes_sent,
@@ -267,8 +267,8 @@
             if records.is_config(item.key):
                 self._take_config(records.read_config(item))
                 return
-            if item.key.startswith(LEAD_PREFIX) and item.data is not None:
-                self._take_lead(msgspec.json.decode(item.data, type=LeadRecord))
+            if item.key.startswith(PRIMARY_RECORD_PREFIX) and item.data is not None:
+                self._take_lead(msgspec.json.decode(item.data, type=PrimaryRecord))
                 return
             instance_id = records.find_instance_id(item.key)
             if instance_id is not None:
@@ -292,15 +292,15 @@
         if entry is not None:
             self.directory.set_instance(entry)
 
-    def _take_lead(self, record: LeadRecord) -> None:
-        if not self.directory.set_lead(record):
+    def _take_lead(self, record: PrimaryRecord) -> None:
+        if not self.directory.set_primary_record(record):
             return
         if record.settled:
             self.placement.positions_of(record.service).restart()
         elif not record.planned:
             # A dead primary answers nothing, and the change would wait for timeouts.
             self.pool.break_links(record.deposed)
-        self.gossip.hurry()
+        self.gossip.send_now()
 
     # The other daemons
 
@@ -325,14 +325,14 @@
         # One that said it was stopping admits nothing once it is silent.
         serving = self.members.list_serving()
         self.rates.set_sources(self.heartbeats.list_sources(serving))
-        self.catch_up.tend()
+        self.catch_up.check_peers()
         self._reload()
-        self.mirror.tend()
+        self.mirror.interrupt_long_watch()
         if not self.is_stopping:
-            if self.heartbeats.judges_members():
-                self.members.remove_gone()
+            if self.heartbeats.may_remove_members():
+                self.members.remove_silent()
             if self.guard.has_proof():
-                self.changes.tend()
+                self.changes.start_due_changes()
         self.directory.forget_unlisted()
         self.placement.forget_missing()
         self.pool.close_unused(self.directory.is_listed)
@@ -421,9 +421,9 @@
         run(
             self.gossip.run_sender,
             self.heartbeats.begin_round,
-            self.heartbeats.complete,
+            self.heartbeats.complete_beat,
         )
-        run(self.gossip.run_receiver, self.heartbeats.take)
+        run(self.gossip.run_receiver, self.heartbeats.handle_beat)
         run(self._upkeep)
         run(self._accept)
 
--- a/bronzerelay/pooler/directory.py
+++ b/bronzerelay/pooler/directory.py
@@ -12,7 +12,7 @@
 GONE_AFTER_MS = 2_500
 
 
-class LeadRecord(NamedTuple):
+class PrimaryRecord(NamedTuple):
     """Who was last made primary of a service, as the platform's store holds it.
 
     `term` is the term at which it leads. While `settled` is False the change is under
@@ -47,7 +47,7 @@
         self._log = log
         self.config: FleetConfig | None = None
         self.instances: dict[str, InstanceEntry] = {}
-        self.leads: dict[str, LeadRecord] = {}
+        self.primary_records: dict[str, PrimaryRecord] = {}
         self._unlisted_ms: dict[str, float] = {}
         # Instances of each service, derived from `instances`.
         self._by_service: dict[str, tuple[InstanceEntry, ...]] = {}
@@ -164,13 +164,13 @@
 
     # Who leads
 
-    def set_lead(self, record: LeadRecord) -> bool:
+    def set_primary_record(self, record: PrimaryRecord) -> bool:
         """Take over the record of a change of primary; return whether it is new."""
         with self._lock:
-            known = self.leads.get(record.service)
+            known = self.primary_records.get(record.service)
             if known is not None and not _is_newer(record, known):
                 return False
-            self.leads = {**self.leads, record.service: record}
+            self.primary_records = {**self.primary_records, record.service: record}
         self._log.write(
             "leads",
             "A change of primary is settled."
@@ -185,9 +185,9 @@
         )
         return True
 
-    def find_leader(self, service: str) -> InstanceEntry | None:
+    def find_primary(self, service: str) -> InstanceEntry | None:
         """Return the primary of a service, or None while there is none to be used."""
-        record = self.leads.get(service)
+        record = self.primary_records.get(service)
         if record is not None:
             if not record.settled:
                 return None
@@ -208,7 +208,7 @@
         return self._clock.now_ms() - since_ms > self._leave_within_ms
 
 
-def _is_newer(record: LeadRecord, known: LeadRecord) -> bool:
+def _is_newer(record: PrimaryRecord, known: PrimaryRecord) -> bool:
     if record.epoch == known.epoch:
         return record.settled and not known.settled
     return record.epoch > known.epoch
--- a/bronzerelay/pooler/freshness.py
+++ b/bronzerelay/pooler/freshness.py
@@ -63,10 +63,10 @@
 
     def run(self) -> None:
         """Poll the store when it is due, until the runtime stops."""
-        while self._runtime.sleep_ms(self.tend()):
+        while self._runtime.sleep_ms(self.poll_if_due()):
             pass
 
-    def tend(self) -> float:
+    def poll_if_due(self) -> float:
         """Poll the store if it is this daemon's turn; return when to look again."""
         if not self._mirror.loaded:
             return LOADING_MS
@@ -107,16 +107,16 @@
         News take as long as the poll took, and the watch may not have been sent yet.
         """
         end_ms = self._clock.now_ms() + BEHIND_MS + took_ms
-        while self._mirror.at < at and self._clock.now_ms() < end_ms:
+        while self._mirror.revision < at and self._clock.now_ms() < end_ms:
             if not self._runtime.sleep_ms(LOOK_MS):
                 return
-        if self._mirror.at >= at:
+        if self._mirror.revision >= at:
             return
         self._log.write(
             "store",
             "The watch doesn't bring what the store has.",
             at=at,
-            before=self._mirror.at,
+            before=self._mirror.revision,
             age_ms=round(self._mirror.store_age_ms()),
         )
         self._mirror.renew()
--- a/bronzerelay/pooler/gossip.py
+++ b/bronzerelay/pooler/gossip.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from bronzerelay.pooler.contacts import Peer
-from bronzerelay.pooler.directory import LeadRecord
+from bronzerelay.pooler.directory import PrimaryRecord
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.sources import Report
 from bronzerelay.runtime import Address, Datagrams, Runtime
@@ -52,16 +52,17 @@
     """One heartbeat.
 
     `echo` is the number of the last heartbeat that the sender got from the receiver's
-    incarnation `echo_incarnation`. `mirror_at` is the revision of the platform's store
-    that the sender knows. `report` is what was asked for and admitted. `positions`
-    holds the end of the log (term, number) and its age in milliseconds for each
-    service, and `silent` by observer the instances that give it no answer, and for how
-    many milliseconds. `leads` are the changes of primary that the sender knows of and
-    the receiver may not; `all_told` says that none was left out for want of room.
+    incarnation `echo_incarnation`. `store_revision` is the revision of the platform's
+    store that the sender knows. `report` is what was asked for and admitted.
+    `positions` holds the end of the log (term, number) and its age in milliseconds for
+    each service, and `silent` by observer the instances that give it no answer, and for
+    how many milliseconds. `leads` are the changes of primary that the sender knows of
+    and the receiver may not; `all_told` says that none was left out for want of room.
     `under_way` holds the epochs of those that aren't settled for all that it knows.
     `acknowledged` is the epoch of each change that the sender knows of and has nothing
     under way before. `proof_age_ms` is the age of the sender's proof, None without one.
-    All changes of the store up to `store_age_ms` ago have revisions up to `mirror_at`.
+    All changes of the store up to `store_age_ms` ago have revisions up to
+    `store_revision`.
     """
 
     sender: str
@@ -70,12 +71,12 @@
     echo: int
     echo_incarnation: int
     stopping: bool
-    mirror_at: int
+    store_revision: int
     store_age_ms: float
     report: Report
     positions: dict[str, tuple[int, int, float]]
     silent: dict[str, dict[str, float]]
-    leads: list[LeadRecord]
+    leads: list[PrimaryRecord]
     all_told: bool
     under_way: dict[str, int]
     acknowledged: dict[str, int]
@@ -110,7 +111,7 @@
         self.received_at_ms = NEVER_MS
         self.stopping = False
         self.relaying = False
-        self.mirror_at = 0
+        self.store_revision = 0
         # All that it had told anybody up to then is known here, by itself or a relay.
         self.told_at_ms = NEVER_MS
         # The revision of the store that it knew when it told that, or a later time.
@@ -199,7 +200,7 @@
             if hurried:
                 self._runtime.sleep_ms(HURRY_MS)
 
-    def hurry(self) -> None:
+    def send_now(self) -> None:
         """Send the next heartbeat at once: it holds what others wait for."""
         with self._condition:
             self._hurried = True
@@ -335,7 +336,7 @@
             view.received_at_ms = self._clock.now_ms()
             view.stopping = beat.stopping
             view.relaying = beat.relaying
-            view.mirror_at = beat.mirror_at
+            view.store_revision = beat.store_revision
             view.under_way = beat.under_way
             view.acknowledged = dict(beat.acknowledged)
             view.echoed = -1
@@ -344,9 +345,9 @@
             sent_at_ms = self._find_sent(view.echoed)
             proven_ms = NEVER_MS if sent_at_ms is None else sent_at_ms
             # Who knows nothing of the store yet may not know of a change either.
-            if beat.mirror_at > 0 and beat.all_told:
+            if beat.store_revision > 0 and beat.all_told:
                 view.told_at_ms = max(view.told_at_ms, proven_ms)
-                view.knew_at = beat.mirror_at
+                view.knew_at = beat.store_revision
         take(beat, view, proven_ms)
 
     def _find_sent(self, wanted: int) -> float | None:
--- a/bronzerelay/pooler/heartbeats.py
+++ b/bronzerelay/pooler/heartbeats.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 from bronzerelay.pooler.contacts import Contacts, Plan
-from bronzerelay.pooler.directory import Directory, LeadRecord
+from bronzerelay.pooler.directory import Directory, PrimaryRecord
 from bronzerelay.pooler.fleetrates import FleetRates
 from bronzerelay.pooler.freshness import Turn
 from bronzerelay.pooler.gossip import BEAT_MS, Beat, Gossip, PeerView, Relayed
-from bronzerelay.pooler.leadership import LEASE_MS, LeadGuard
 from bronzerelay.pooler.messages import Position
 from bronzerelay.pooler.mirror import Mirror
 from bronzerelay.pooler.placement import Placement
+from bronzerelay.pooler.primaryguard import LEASE_MS, PrimaryGuard
 from bronzerelay.pooler.sources import NO_REPORT, Scope, SourceGroup
 from bronzerelay.rendezvous import rank
 from bronzerelay.runtime import Runtime
@@ -54,8 +54,8 @@
         directory: Directory,
         placement: Placement,
         rates: FleetRates,
-        guard: LeadGuard,
-        take_lead: Callable[[LeadRecord], None],
+        guard: PrimaryGuard,
+        take_lead: Callable[[PrimaryRecord], None],
     ):
         self._clock = runtime.clock
         self._name = name
@@ -77,7 +77,7 @@
         """Choose the contacts anew, by who is silent now."""
         makes_change = any(
             record.holder == self._name and not record.settled
-            for record in list(self._directory.leads.values())
+            for record in list(self._directory.primary_records.values())
         )
         self._plan = self.contacts.plan(self._is_silent, makes_change)
         self._gossip.set_contacts(self._plan.contacts)
@@ -93,7 +93,7 @@
         """Return whether this daemon is a relay of its failure domain."""
         return self._plan.relaying
 
-    def judges_members(self) -> bool:
+    def may_remove_members(self) -> bool:
         """Return whether this daemon hears of enough to take silent ones for gone."""
         return self._plan.relaying or self.contacts.is_mesh()
 
@@ -103,7 +103,9 @@
             return False
         views = self._gossip.views
         return any(
-            name in views and views[name].mirror_at > 0 and not self._is_silent(name)
+            name in views
+            and views[name].store_revision > 0
+            and not self._is_silent(name)
             for name in self._plan.relays.get(self._domain, ())
         )
 
@@ -120,15 +122,17 @@
         heard = [
             name
             for name in names
-            if name in views and views[name].mirror_at > 0 and not self._is_silent(name)
+            if name in views
+            and views[name].store_revision > 0
+            and not self._is_silent(name)
         ]
         place = rank(STORE, [*heard, self._name]).index(self._name)
         return Turn(place, lag_ms if place else 0.0)
 
-    def tell_change(self) -> None:
+    def announce_store_change(self) -> None:
         """Tell at once that something has changed in the store, where others wait."""
         if self._plan.relaying:
-            self._gossip.hurry()
+            self._gossip.send_now()
 
     def list_sources(self, serving: list[str]) -> dict[str, SourceGroup]:
         """Return who tells of the operations of the other members that serve."""
@@ -154,9 +158,9 @@
     def begin_round(self) -> Beat:
         """Choose the contacts anew and return what to tell them."""
         self.update_plan()
-        return self.describe()
+        return self.build_beat()
 
-    def describe(self) -> Beat:
+    def build_beat(self) -> Beat:
         """Return the part of a heartbeat that doesn't depend on its receiver."""
         now_ms = self._clock.now_ms()
         relaying = self._plan.relaying
@@ -177,7 +181,7 @@
             0,
             0,
             self.is_stopping,
-            self._mirror.at,
+            self._mirror.revision,
             int(store_age_ms) + 1,
             NO_REPORT,
             positions,
@@ -194,15 +198,15 @@
     def _list_under_way(self) -> dict[str, int]:
         return {
             record.service: record.epoch
-            for record in list(self._directory.leads.values())
+            for record in list(self._directory.primary_records.values())
             if not record.settled
         }
 
     def _list_own_acknowledged(self) -> dict[str, int]:
         return {
             record.service: record.epoch
-            for record in list(self._directory.leads.values())
-            if record.settled or self._guard.is_quiet(record.service)
+            for record in list(self._directory.primary_records.values())
+            if record.settled or self._guard.is_idle(record.service)
         }
 
     def _describe_silent(
@@ -228,14 +232,14 @@
             if instances
         }
 
-    def complete(self, beat: Beat, view: PeerView, since_ms: float | None) -> Beat:
+    def complete_beat(self, beat: Beat, view: PeerView, since_ms: float | None) -> Beat:
         """Add to a heartbeat what is for the peer that gets it.
 
         What it is known to know already is left out, so that heartbeats stay small.
         """
         missing = [
             record
-            for record in list(self._directory.leads.values())
+            for record in list(self._directory.primary_records.values())
             if since_ms is None
             or view.acknowledged.get(record.service, 0) < record.epoch
             or (record.settled and view.under_way.get(record.service) == record.epoch)
@@ -262,7 +266,7 @@
         """Return what a relay or the maker of a change needs to hear of the others."""
         unsettled = [
             record
-            for record in list(self._directory.leads.values())
+            for record in list(self._directory.primary_records.values())
             if not record.settled
         ]
         makes_change = any(record.holder == view.name for record in unsettled)
@@ -291,28 +295,28 @@
 
     # Learning
 
-    def take(self, beat: Beat, view: PeerView, proven_ms: float) -> None:
+    def handle_beat(self, beat: Beat, view: PeerView, proven_ms: float) -> None:
         """Take a peer's heartbeat, which counts from `proven_ms`."""
         self._rates.note_report(beat.sender, beat.incarnation, proven_ms, beat.report)
         for record in beat.leads:
             self._take_lead(record)
         if view.relaying and not self._plan.relaying:
-            self._mirror.note_told(beat.mirror_at, view.address)
-        if beat.mirror_at > 0:
-            self._mirror.note_known(beat.mirror_at, proven_ms - beat.store_age_ms)
+            self._mirror.note_told(beat.store_revision, view.address)
+        if beat.store_revision > 0:
+            self._mirror.note_known(beat.store_revision, proven_ms - beat.store_age_ms)
         if beat.relayed is not None:
             self._take_relayed(beat.relayed, proven_ms)
         self._take_proof(beat, proven_ms)
         self._take_silent(beat)
         for service, (term, number, age_ms) in beat.positions.items():
-            known = self._directory.leads.get(service)
+            known = self._directory.primary_records.get(service)
             if beat.acknowledged.get(service) == (known.epoch if known else None):
                 positions = self._placement.positions_of(service)
                 positions.note(proven_ms - age_ms, Position(term, number))
         if self._plan.relaying and self._tells_of_change(view):
-            self._gossip.hurry()
+            self._gossip.send_now()
         if beat.asks:
-            self._gossip.answer(self.describe(), view, self.complete)
+            self._gossip.answer(self.build_beat(), view, self.complete_beat)
 
     def _take_relayed(self, relayed: Relayed, proven_ms: float) -> None:
         views = self._gossip.views
@@ -328,7 +332,7 @@
                     views[name].acknowledged[service] = max(known, epoch)
 
     def _take_proof(self, beat: Beat, proven_ms: float) -> None:
-        if beat.mirror_at <= 0 or not beat.all_told:
+        if beat.store_revision <= 0 or not beat.all_told:
             return
         if beat.proof_age_ms is not None:
             self._guard.note_passed_on(proven_ms - beat.proof_age_ms)
@@ -365,9 +369,9 @@
             for name, view in self._gossip.views.items()
             if view.acknowledged.get(service, 0) >= epoch
         }
-        record = self._directory.leads.get(service)
+        record = self._directory.primary_records.get(service)
         known = record is not None and record.epoch >= epoch
-        if known and self._guard.is_quiet(service):
+        if known and self._guard.is_idle(service):
             names.add(self._name)
         return names
 
@@ -380,8 +384,8 @@
             if view.silent_at_ms >= oldest_ms and instance_id in view.silent_since_ms
         ]
 
-    def tell_quiet(self, service: str) -> None:
+    def announce_idle(self, service: str) -> None:
         """Tell at once that nothing is under way, where a change waits for it."""
-        record = self._directory.leads.get(service)
+        record = self._directory.primary_records.get(service)
         if record is not None and not record.settled:
-            self._gossip.hurry()
+            self._gossip.send_now()
--- a/bronzerelay/pooler/members.py
+++ b/bronzerelay/pooler/members.py
@@ -7,8 +7,8 @@
 from bronzerelay.pooler.contacts import Peer
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.gossip import Gossip
-from bronzerelay.pooler.leadership import LEASE_MS
 from bronzerelay.pooler.mirror import Item, Mirror, StoreError
+from bronzerelay.pooler.primaryguard import LEASE_MS
 from bronzerelay.runtime import Runtime, parse_address
 
 MEMBER_PREFIX = "bronzerelay/members/"
@@ -66,7 +66,7 @@
             if not (name in views and views[name].stopping)
         ]
 
-    def outvotes(self, known: set[str]) -> bool:
+    def is_quorum(self, known: set[str]) -> bool:
         """Return whether no other daemons than `known` can be most of all members.
 
         Exactly half of them are enough while the others have the same list: most of
@@ -80,7 +80,9 @@
         changed_at = max(joined_at, self._changed_at)
         views = self._gossip.views
         others = [views.get(name) for name in names if name not in known]
-        return all(view is not None and view.mirror_at >= changed_at for view in others)
+        return all(
+            view is not None and view.store_revision >= changed_at for view in others
+        )
 
     # The own entry
 
@@ -98,7 +100,7 @@
     def _put(self, key: str, data: bytes, known: Item | None) -> None:
         revision = known.revision if known else 0
         try:
-            self._mirror.change({key: revision}, {key: data}, [])
+            self._mirror.compare_and_swap({key: revision}, {key: data}, [])
         except StoreError as error:
             # The watch shows what became of it; it is tried again if need be.
             self._log.write("members", "Joining failed.", error=str(error))
@@ -111,7 +113,7 @@
         others = self._read()
         if others == self._others:
             return None
-        self._changed_at = self._mirror.at
+        self._changed_at = self._mirror.revision
         self._log.write("members", "The members changed.", members=sorted(others))
         self._others = others
         return others
@@ -148,7 +150,7 @@
         ]
         return (1 + len(heard)) * 2 > len(self.list_names())
 
-    def remove_gone(self) -> None:
+    def remove_silent(self) -> None:
         """Take one member off the list that is addressed and silent for very long."""
         oldest_ms = self._clock.now_ms() - GONE_MEMBER_MS
         views = {
@@ -170,7 +172,7 @@
         if item is None:
             return
         try:
-            self._mirror.change({item.key: item.revision}, {}, [item.key])
+            self._mirror.compare_and_swap({item.key: item.revision}, {}, [item.key])
             self._log.write("members", "A silent member was removed.", peer=name)
         except StoreError as error:
             self._log.write("members", "Removing failed.", peer=name, error=str(error))
--- a/bronzerelay/pooler/mirror.py
+++ b/bronzerelay/pooler/mirror.py
@@ -23,7 +23,7 @@
 # The pause after a watch that brought changes, in milliseconds. All daemons come and
 # their instances change in bursts, and each change by itself costs each daemon a call;
 # what must be known sooner travels in heartbeats.
-GATHER_MS = 120
+BATCH_PAUSE_MS = 120
 # The time that any other call may take, in milliseconds.
 CALL_TIMEOUT_MS = 1_500
 # How long the store or a peer may be ahead of this mirror before something is done, in
@@ -54,11 +54,11 @@
     revision: int
 
 
-class Changes(NamedTuple):
+class StoreItems(NamedTuple):
     """Items as they are or have become, and the store's revision then."""
 
     items: list[Item]
-    at: int
+    revision: int
 
 
 class StoreError(Exception):
@@ -80,16 +80,16 @@
 class Store(Protocol):
     """The platform's store, as its adapter offers it."""
 
-    def load(self, prefix: str, timeout_ms: float) -> Changes:
+    def load(self, prefix: str, timeout_ms: float) -> StoreItems:
         """Return all items whose key starts with `prefix`, or raise StoreError."""
 
-    def watch(self, prefix: str, after: int, wait_ms: float) -> Changes:
+    def watch(self, prefix: str, after: int, wait_ms: float) -> StoreItems:
         """Return what changed after a revision, waiting for it at most `wait_ms`."""
 
     def read_revision(self, timeout_ms: float) -> int:
         """Return the revision that the store is at now, or raise StoreError."""
 
-    def change(
+    def compare_and_swap(
         self,
         expected: dict[str, int],
         puts: dict[str, bytes],
@@ -155,18 +155,18 @@
         self._failures = 0
         # All changes of the store up to then are known here.
         self._known_ms = NEVER_MS
-        self.at = 0
+        self.revision = 0
         self.loaded = False
         # Asks for a sign of life of the store more often than changes alone bring.
         self.wants_proof: Callable[[], bool] = lambda: False
         # Takes the moment up to which all changes are known.
-        self.note_proof: Callable[[float], None] = lambda _: None
+        self.on_proof: Callable[[float], None] = lambda _: None
         # Whether this daemon goes by a relay instead of watching the store.
-        self.goes_by_relay: Callable[[], bool] = lambda: False
+        self.follows_relay: Callable[[], bool] = lambda: False
         # Fetches from a peer what is new; returns whether it gave an answer.
         self.fetch: Callable[[Address], bool] = lambda _: False
         # Is told that something has changed here.
-        self.note_change: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
         self._hurried = False
         self._waits_long = False
         # Whether the last watch brought nothing though the store had more.
@@ -185,10 +185,10 @@
 
         Return whether this mirror has reached it; else nothing is noted.
         """
-        if at > self.at:
+        if at > self.revision:
             return False
         self._known_ms = max(self._known_ms, known_ms)
-        self.note_proof(known_ms)
+        self.on_proof(known_ms)
         return True
 
     def list_prefix(self, prefix: str) -> list[Item]:
@@ -197,14 +197,14 @@
 
     # Taking changes in
 
-    def _apply(self, changes: Changes) -> None:
-        before = self.at
+    def _apply(self, changes: StoreItems) -> None:
+        before = self.revision
         with self._lock:
             for item in changes.items:
                 self._apply_item(item)
-            self.at = max(self.at, changes.at)
-        if self.at > before:
-            self.note_change()
+            self.revision = max(self.revision, changes.revision)
+        if self.revision > before:
+            self.on_change()
 
     def _apply_item(self, item: Item) -> None:
         known = self._items.get(item.key)
@@ -228,7 +228,7 @@
     def _replace(self, items: Iterable[Item], at: int) -> None:
         """Take over a whole state; keys that it lacks count as removed."""
         with self._lock:
-            if at < self.at:
+            if at < self.revision:
                 return
             present = set()
             for item in items:
@@ -238,11 +238,11 @@
                 # Pages are no snapshot: a key put in between is newer than they are.
                 if self._items[key].revision <= at:
                     self._apply_item(Item(key, None, at + 1))
-            self.at = at
+            self.revision = at
             self.loaded = True
             # At which revisions the missing keys were removed isn't known.
             self._removed_from = at
-        self.note_change()
+        self.on_change()
 
     # Following the store
 
@@ -254,7 +254,7 @@
             try:
                 if not loaded:
                     changes = self._store.load("", CALL_TIMEOUT_MS)
-                    self._replace(changes.items, changes.at)
+                    self._replace(changes.items, changes.revision)
                     loaded = True
                 elif self._should_follow():
                     self._follow()
@@ -277,7 +277,7 @@
         self._waits_long = not wants_proof
         wait_ms = PROOF_WAIT_MS if wants_proof else WATCH_WAIT_MS
         try:
-            changes = self._store.watch("", self.at, wait_ms)
+            changes = self._store.watch("", self.revision, wait_ms)
             self._apply(changes)
         finally:
             self._waits_long = False
@@ -289,7 +289,7 @@
         self._held_back = False
         self._note_answer(sent_at_ms)
         if not wants_proof:
-            self._runtime.sleep_ms(GATHER_MS)
+            self._runtime.sleep_ms(BATCH_PAUSE_MS)
 
     def _confirm(self) -> None:
         """Ask the store whether a watch that brought nothing had nothing to bring.
@@ -321,7 +321,7 @@
     def _should_follow(self) -> bool:
         return (
             self._clock.now_ms() >= self._distrust_until_ms
-            and self.goes_by_relay()
+            and self.follows_relay()
             and not self.wants_proof()
         )
 
@@ -330,16 +330,16 @@
         with self._condition:
             self._runtime.wait_for(
                 self._condition,
-                lambda: self._told.at > self.at or not self._should_follow(),
+                lambda: self._told.at > self.revision or not self._should_follow(),
                 FOLLOW_WAIT_MS,
             )
             told = self._told
-        if told.address is None or told.at <= self.at:
+        if told.address is None or told.at <= self.revision:
             return
         if not self.fetch(told.address):
             self._distrust_until_ms = self._clock.now_ms() + DISTRUST_MS
             with self._condition:
-                self._told = Told(self.at, None)
+                self._told = Told(self.revision, None)
 
     def renew(self) -> None:
         """Ask the store anew for what the watch, or a relay, should have brought."""
@@ -349,7 +349,7 @@
         self._hurried = True
         self._store.interrupt()
 
-    def tend(self) -> None:
+    def interrupt_long_watch(self) -> None:
         """Break off a long watch when the store has to show that nothing changed."""
         if self._waits_long and self.wants_proof():
             self._hurried = True
@@ -357,7 +357,7 @@
 
     def _note_answer(self, sent_at_ms: float) -> None:
         self._note_life()
-        self.note_known(self.at, sent_at_ms)
+        self.note_known(self.revision, sent_at_ms)
 
     def _note_life(self) -> None:
         if self._failures:
@@ -366,7 +366,7 @@
                 "The store answers again.",
                 failed=self._failures,
                 age_ms=round(self.store_age_ms()),
-                at=self.at,
+                at=self.revision,
             )
         self._failures = 0
 
@@ -382,7 +382,7 @@
                 error=str(error),
                 waited_ms=round(self._clock.now_ms() - sent_at_ms),
                 age_ms=round(self.store_age_ms()),
-                at=self.at,
+                at=self.revision,
             )
         step = min(self._failures, len(RETRY_PAUSES_MS)) - 1
         jitter = self._runtime.random.uniform(0.7, 1.3)
@@ -394,7 +394,7 @@
         """Return for a peer what changed after a revision, or all when that is old."""
         with self._lock:
             since = after if after >= self._removed_from and after > 0 else 0
-            if self._packed[:2] == (since, self.at):
+            if self._packed[:2] == (since, self.revision):
                 return self._packed.data
             items: list[tuple[str, bytes | None, int]] = [
                 (item.key, item.data, item.revision)
@@ -407,10 +407,10 @@
                     for key, revision in self._removed.items()
                     if revision > since
                 ]
-            encoded = msgspec.msgpack.encode(PeerMirror(self.at, items, since))
+            encoded = msgspec.msgpack.encode(PeerMirror(self.revision, items, since))
             data = zlib.compress(encoded, COMPRESSION)
             # All daemons behind a relay ask for the same after a change.
-            self._packed = Packed(since, self.at, data)
+            self._packed = Packed(since, self.revision, data)
             return data
 
     def unpack(self, data: bytes, source: str) -> None:
@@ -420,14 +420,14 @@
             packed = msgspec.msgpack.decode(encoded, type=PeerMirror)
         except (zlib.error, msgspec.DecodeError) as error:
             raise ValueError(f"the mirror of {source} can't be read: {error}") from None
-        if packed.at <= self.at:
+        if packed.at <= self.revision:
             return
-        before = self.at
+        before = self.revision
         items = [Item(key, value, revision) for key, value, revision in packed.items]
         if packed.since == 0:
             self._replace(items, packed.at)
         elif packed.since <= before:
-            self._apply(Changes(items, packed.at))
+            self._apply(StoreItems(items, packed.at))
         self._log.write(
             "store",
             "A peer's mirror was taken over.",
@@ -436,11 +436,11 @@
             before=before,
         )
 
-    def change(
+    def compare_and_swap(
         self, expected: dict[str, int], puts: dict[str, bytes], removed: list[str]
     ) -> int:
         """Change keys of the store; raise StoreError or ConflictError."""
-        return self._store.change(expected, puts, removed, CALL_TIMEOUT_MS)
+        return self._store.compare_and_swap(expected, puts, removed, CALL_TIMEOUT_MS)
 
     def read(self, key: str) -> Item | None:
         """Return a key as the store has it now, or raise StoreError."""
--- a/bronzerelay/pooler/placement.py
+++ b/bronzerelay/pooler/placement.py
@@ -128,7 +128,7 @@
         view = self.view_of(entry.id)
         view.position = position
         view.position_at_ms = sent_at_ms
-        leader = self._directory.find_leader(entry.service)
+        leader = self._directory.find_primary(entry.service)
         if leader is not None and leader.id == entry.id:
             self.positions_of(entry.service).note_own(sent_at_ms, position)
 
@@ -152,7 +152,7 @@
         All samples are of that primary then, and hold each such commit that was kept.
         One that wasn't is in no log any more, and a read would wait for it in vain.
         """
-        record = self._directory.leads.get(route.service)
+        record = self._directory.primary_records.get(route.service)
         return record is not None and commit.term < record.term
 
     def list_readers(
@@ -162,7 +162,7 @@
 
         Without a proof that it still leads, the primary is left to those that need it.
         """
-        leader = self._directory.find_leader(service)
+        leader = self._directory.find_primary(service)
         if need.primary_only:
             return [leader.id] if leader else []
         now_ms = self._clock.now_ms()
--- a/bronzerelay/pooler/changes.py
+++ b/bronzerelay/pooler/primarychanges.py
@@ -13,17 +13,17 @@
 import msgspec
 
 from bronzerelay.pooler.counters import Counters
-from bronzerelay.pooler.directory import Directory, LeadRecord
+from bronzerelay.pooler.directory import Directory, PrimaryRecord
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.fleetconfig import InstanceEntry
-from bronzerelay.pooler.leadership import LEASE_MARGIN_MS, LEASE_MS
 from bronzerelay.pooler.messages import InstanceStatus
 from bronzerelay.pooler.mirror import Mirror, StoreError
 from bronzerelay.pooler.placement import Placement
+from bronzerelay.pooler.primaryguard import LEASE_MARGIN_MS, LEASE_MS
 from bronzerelay.rendezvous import rank
 from bronzerelay.runtime import Runtime, TaskLimitError
 
-LEAD_PREFIX = "bronzerelay/leads/"
+PRIMARY_RECORD_PREFIX = "bronzerelay/leads/"
 # A primary that answered nobody for this long is taken for dead, in milliseconds. What
 # peers see of it is up to two heartbeats old; a slow statement takes less.
 DEAD_AFTER_MS = 1_000
@@ -88,7 +88,7 @@
     # The members that know of a change and have nothing under way at the old primary.
     acknowledged: Callable[[str, int], set[str]]
     # Whether no other members than these can prove to each other that a primary leads.
-    outvotes: Callable[[set[str]], bool]
+    is_quorum: Callable[[set[str]], bool]
     # Since when an instance has given no answer to each of the peers that miss one.
     silent_since_ms: Callable[[str], list[float]]
 
@@ -96,7 +96,7 @@
 AskStatus = Callable[[InstanceEntry, float], InstanceStatus | None]
 
 
-class LeadChanges:
+class PrimaryChangeCoordinator:
     """Looks after the primaries of all services, for one daemon."""
 
     def __init__(
@@ -109,7 +109,7 @@
         fleet: FleetView,
         ask_status: AskStatus,
         promote: Promoter,
-        announce: Callable[[LeadRecord], None],
+        announce: Callable[[PrimaryRecord], None],
         counters: Counters,
         log: EventLog,
     ):
@@ -130,11 +130,11 @@
         # Since when a change of a service has looked due, and why.
         self._due: dict[str, tuple[str, float]] = {}
         # The record last seen of a service, at which revision, and since when.
-        self._seen: dict[str, tuple[LeadRecord, int, float]] = {}
+        self._seen: dict[str, tuple[PrimaryRecord, int, float]] = {}
 
     # When a change is due
 
-    def tend(self) -> None:
+    def start_due_changes(self) -> None:
         """Look at all services, and start the changes that are due here."""
         services = {entry.service for entry in self._directory.instances.values()}
         for service in services:
@@ -146,24 +146,24 @@
 
     def _find_reason(self, service: str) -> str | None:
         now_ms = self._clock.now_ms()
-        record = self._directory.leads.get(service)
+        record = self._directory.primary_records.get(service)
         if record is not None and not record.settled:
             return self._find_takeover(record, now_ms)
-        leader = self._directory.find_leader(service)
+        leader = self._directory.find_primary(service)
         if leader is None:
             return "no primary"
         if leader.leaving:
             return "planned"
         return "dead" if self._looks_dead(leader, now_ms) else None
 
-    def _find_takeover(self, record: LeadRecord, now_ms: float) -> str | None:
+    def _find_takeover(self, record: PrimaryRecord, now_ms: float) -> str | None:
         # The process that began it is gone, as this one has its name; nobody has to
         # wait whether it comes back.
         if record.holder == self._name and record.service not in self._busy:
             return "restarted"
         # A holder that waits for long writes the same record again, so that nobody
         # takes the change over from it.
-        item = self._mirror.get(LEAD_PREFIX + record.service)
+        item = self._mirror.get(PRIMARY_RECORD_PREFIX + record.service)
         revision = item.revision if item else 0
         seen = self._seen.get(record.service)
         if seen is None or seen[:2] != (record, revision):
@@ -272,21 +272,21 @@
 class _Change:
     """One change of one service's primary, made by this daemon."""
 
-    def __init__(self, parts: LeadChanges, service: str, reason: str):
+    def __init__(self, parts: PrimaryChangeCoordinator, service: str, reason: str):
         self._parts = parts
         self._clock = parts._clock
         self._service = service
         self._reason = reason
-        self._key = LEAD_PREFIX + service
+        self._key = PRIMARY_RECORD_PREFIX + service
         self._revision = 0
         self._proved_ms = 0.0
-        leader = parts._directory.find_leader(service)
-        known = parts._directory.leads.get(service)
+        leader = parts._directory.find_primary(service)
+        known = parts._directory.primary_records.get(service)
         self._old = leader.id if leader else (known.deposed if known else "")
         # Its entry, which lapses when it is cut off from the store for long.
         self._old_entry = leader
         epoch = known.epoch if known else 0
-        self._record = LeadRecord(
+        self._record = PrimaryRecord(
             service,
             known.instance if known else self._old,
             known.term if known else 0,
@@ -336,7 +336,7 @@
         data = msgspec.json.encode(self._record)
         mirror = self._parts._mirror
         try:
-            self._revision = mirror.change(
+            self._revision = mirror.compare_and_swap(
                 {self._key: self._revision}, {self._key: data}, []
             )
         except StoreError as error:
@@ -372,7 +372,7 @@
                 waited_ms = now_ms - began_ms
                 self._say("All daemons know of the change.", waited_ms=round(waited_ms))
                 return waited_ms
-            if not self._parts._fleet.outvotes(known):
+            if not self._parts._fleet.is_quorum(known):
                 # Whoever forgot the change since may have let a lease begin anew.
                 enough_ms = None
             elif enough_ms is None:
--- a/bronzerelay/pooler/leadership.py
+++ b/bronzerelay/pooler/primaryguard.py
@@ -34,7 +34,7 @@
 NEVER_MS = -1e15
 
 
-class LeadGuard:
+class PrimaryGuard:
     """Judges before and after each use of a primary, and counts uses under way."""
 
     def __init__(self, runtime: Runtime, directory: Directory):
@@ -43,7 +43,7 @@
         self._lock = runtime.make_lock()
         self._under_way: dict[str, int] = {}
         # Takes the service at whose primary the last use under way has ended.
-        self.note_quiet: Callable[[str], None] = lambda _: None
+        self.on_idle: Callable[[str], None] = lambda _: None
         # Up to when most members were heard of, and up to when they or the store were.
         self._heard_ms = NEVER_MS
         self._proven_ms = NEVER_MS
@@ -70,12 +70,12 @@
             self._heard_ms = max(self._heard_ms, proven_ms)
             self._proven_ms = max(self._proven_ms, proven_ms)
 
-    def note_store(self, read_at_ms: float) -> None:
+    def add_store_proof(self, read_at_ms: float) -> None:
         """Note that all changes in the store up to `read_at_ms` are known here."""
         with self._lock:
             self._proven_ms = max(self._proven_ms, read_at_ms)
 
-    def needs_store(self) -> bool:
+    def needs_store_proof(self) -> bool:
         """Return whether the store has to give proofs, as most members don't."""
         return self._clock.now_ms() - self._heard_ms > LATE_MS
 
@@ -87,7 +87,7 @@
         """Return how old the newest proof is."""
         return self._clock.now_ms() - self._proven_ms
 
-    def refuse_cut_off(self) -> Refusal | None:
+    def refuse_if_isolated(self) -> Refusal | None:
         """Return why nothing may run here while this daemon is cut off, or None.
 
         The others take it for gone after a while and spend its part of each rate. Who
@@ -100,36 +100,36 @@
 
     # Use of a primary
 
-    def enter(self, service: str, instance_id: str) -> Refusal | None:
+    def begin_use(self, service: str, instance_id: str) -> Refusal | None:
         """Begin to use the primary of a service, or say why it may not be used.
 
-        Who got None calls `leave` afterwards.
+        Who got None calls `end_use` afterwards.
         """
         with self._lock:
-            refusal = self.judge(service, instance_id)
+            refusal = self.check_use(service, instance_id)
             if refusal is None:
                 self._under_way[service] = self._under_way.get(service, 0) + 1
             return refusal
 
-    def leave(self, service: str) -> None:
+    def end_use(self, service: str) -> None:
         """End a use of the primary."""
         with self._lock:
             self._under_way[service] -= 1
             quiet = self._under_way[service] == 0
         if quiet:
-            self.note_quiet(service)
+            self.on_idle(service)
 
-    def still_leads(self, service: str, instance_id: str) -> bool:
+    def is_still_primary(self, service: str, instance_id: str) -> bool:
         """Return whether what the primary has just answered may be believed."""
-        return self.judge(service, instance_id) is None
+        return self.check_use(service, instance_id) is None
 
-    def is_quiet(self, service: str) -> bool:
+    def is_idle(self, service: str) -> bool:
         """Return whether no use of the service's primary is under way."""
         return self._under_way.get(service, 0) == 0
 
-    def judge(self, service: str, instance_id: str) -> Refusal | None:
+    def check_use(self, service: str, instance_id: str) -> Refusal | None:
         """Return why the primary of the service may not be used now, or None."""
-        leader = self._directory.find_leader(service)
+        leader = self._directory.find_primary(service)
         if leader is None or leader.id != instance_id:
             message = "The primary of the service is being replaced."
             return Refusal(
--- a/bronzerelay/pooler/runner.py
+++ b/bronzerelay/pooler/runner.py
@@ -9,7 +9,6 @@
 from bronzerelay.pooler.directory import Directory
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.fleetconfig import InstanceEntry, Route
-from bronzerelay.pooler.leadership import LeadGuard
 from bronzerelay.pooler.links import (
     OWN_ID,
     InstanceLink,
@@ -30,6 +29,7 @@
     Verb,
 )
 from bronzerelay.pooler.placement import Placement, ReadNeed
+from bronzerelay.pooler.primaryguard import PrimaryGuard
 from bronzerelay.pooler.refusals import (
     NO_PRIMARY_RETRY_MS,
     lose_transaction,
@@ -114,7 +114,7 @@
         directory: Directory,
         placement: Placement,
         pool: LinkPool,
-        guard: LeadGuard,
+        guard: PrimaryGuard,
         counters: Counters,
         log: EventLog,
     ):
@@ -248,7 +248,7 @@
         """
         if answer.fault is not None:
             return answer
-        if self._guard.still_leads(entry.service, entry.id):
+        if self._guard.is_still_primary(entry.service, entry.id):
             return answer
         return Answer(fault=Fault.LOST, detail="the primary may have been replaced")
 
@@ -263,7 +263,7 @@
         if isinstance(chosen, Refusal):
             return chosen
         as_primary = need.primary_only or chosen == self._leader_id(service)
-        refusal = self._guard.judge(service, chosen) if as_primary else None
+        refusal = self._guard.check_use(service, chosen) if as_primary else None
         if refusal is not None:
             self._queue_of(service).release(chosen)
             return refusal
@@ -293,7 +293,7 @@
         while True:
             has_proof = self._guard.has_proof()
             readers = self._placement.list_readers(service, need, tried, has_proof)
-            record = self._directory.leads.get(service)
+            record = self._directory.primary_records.get(service)
             planned = record is not None and record.planned and not record.settled
             if readers or not planned or self._clock.now_ms() >= job.slot_by_ms:
                 return readers
@@ -304,7 +304,7 @@
         self._queue_of(place.service).release(place.instance)
 
     def _leader_id(self, service: str) -> str | None:
-        leader = self._directory.find_leader(service)
+        leader = self._directory.find_primary(service)
         return leader.id if leader else None
 
     def _use(
@@ -317,13 +317,13 @@
         """
         if not as_primary:
             return act()
-        refusal = self._guard.enter(entry.service, entry.id)
+        refusal = self._guard.begin_use(entry.service, entry.id)
         if refusal is not None:
             return refusal
         try:
             return act()
         finally:
-            self._guard.leave(entry.service)
+            self._guard.end_use(entry.service)
 
     def _call_patiently(
         self, job: Job, place: Place, entry: InstanceEntry, call: Callable[[], Answer]
@@ -588,7 +588,7 @@
     ) -> None:
         """Write where a statement went, by what, and what came of it."""
         view = self._placement.view_of(place.instance)
-        lead = self._directory.leads.get(place.service)
+        lead = self._directory.primary_records.get(place.service)
         self._log.write_request(
             "runner",
             "A transaction was opened." if begins else "A statement was sent.",
--- a/bronzerelay/pooler/session.py
+++ b/bronzerelay/pooler/session.py
@@ -8,7 +8,6 @@
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.fleetconfig import FleetConfig, Route
 from bronzerelay.pooler.fleetrates import FleetRates
-from bronzerelay.pooler.leadership import LeadGuard
 from bronzerelay.pooler.lines import LINE_TIMEOUT_MS, LineReader
 from bronzerelay.pooler.links import InstanceLink
 from bronzerelay.pooler.messages import (
@@ -23,6 +22,7 @@
     TransactionState,
     Verb,
 )
+from bronzerelay.pooler.primaryguard import PrimaryGuard
 from bronzerelay.pooler.refusals import lose_transaction, refuse_fault
 from bronzerelay.pooler.runner import SLOT_WAIT_PART, Job, Runner
 from bronzerelay.runtime import Connection, Runtime, Signal
@@ -53,7 +53,7 @@
     codec: LineCodec
     directory: Directory
     rates: FleetRates
-    guard: LeadGuard
+    guard: PrimaryGuard
     runner: Runner
     counters: Counters
     log: EventLog
@@ -339,7 +339,7 @@
         if isinstance(admitted, Refusal):
             return Reply(admitted)
         route, workspace = admitted
-        refusal = self._services.guard.refuse_cut_off()
+        refusal = self._services.guard.refuse_if_isolated()
         refusal = refusal or self._spend(workspace, route)
         if refusal is not None:
             return Reply(refusal)
@@ -468,7 +468,7 @@
         workspace = config.keys.get(self._key, "") if config else ""
         route = directory.find_route(self._database)
         service = route.service if route else ""
-        leader = directory.find_leader(service)
+        leader = directory.find_primary(service)
         self._services.counters.count(
             "refusals", code=refusal.code.name.lower(), ran=refusal.ran
         )
--- a/tests/builders_heartbeats.py
+++ b/tests/builders_heartbeats.py
@@ -6,8 +6,8 @@
 from bronzerelay.pooler.fleetrates import FleetRates
 from bronzerelay.pooler.gossip import BEAT_MS, NEVER_MS, Gossip
 from bronzerelay.pooler.heartbeats import Heartbeats
-from bronzerelay.pooler.leadership import LeadGuard
 from bronzerelay.pooler.placement import Placement
+from bronzerelay.pooler.primaryguard import PrimaryGuard
 from bronzerelay.runtime import Address, Random
 from tests.builders_pooler import (
     SetClock,
@@ -26,7 +26,7 @@
 
     def __init__(self, clock):
         self._clock = clock
-        self.at = 7
+        self.revision = 7
         self.told = []
         self.age_ms = 0.0
         self._known_ms = NEVER_MS
@@ -97,7 +97,7 @@
         self.directory = make_directory(runtime)
         self.placement = Placement(runtime, self.directory)
         self.rates = FleetRates(runtime, name)
-        self.guard = LeadGuard(runtime, self.directory)
+        self.guard = PrimaryGuard(runtime, self.directory)
         self.gossip = Gossip(runtime, name, self.peer.address, make_log(runtime))
         self.mirror = FakeMirror(fleet.clock)
         self.gossip.incarnation = fleet.chance.getrandbits(48)
@@ -117,8 +117,8 @@
         self.is_alive = True
 
     def take_lead(self, record) -> None:
-        if self.directory.set_lead(record):
-            self.gossip.hurry()
+        if self.directory.set_primary_record(record):
+            self.gossip.send_now()
 
     def set_peers(self, peers: dict[str, Peer]) -> None:
         others = {name: peer for name, peer in peers.items() if name != self.name}
@@ -131,12 +131,12 @@
         hurried, self.gossip._hurried = self.gossip._hurried, False
         self.next_beat_ms = now_ms + BEAT_MS
         beat = self.heartbeats.begin_round()
-        self.gossip.send_round(beat, self.heartbeats.complete, hurried)
+        self.gossip.send_round(beat, self.heartbeats.complete_beat, hurried)
 
     def receive(self) -> None:
         arrived = self.gossip._sock.arrived
         while arrived:
-            self.gossip._take(arrived.popleft(), self.heartbeats.take)
+            self.gossip._take(arrived.popleft(), self.heartbeats.handle_beat)
 
 
 class HeartbeatFleet:
@@ -162,7 +162,7 @@
 
     def list_relays(self) -> list[Daemon]:
         alive = self.list_alive()
-        return [one for one in alive if one.heartbeats.describe().relaying]
+        return [one for one in alive if one.heartbeats.build_beat().relaying]
 
     def step(self) -> None:
         """Let one step pass: what was sent arrives, and who is due sends."""
--- a/tests/builders_pooler.py
+++ b/tests/builders_pooler.py
@@ -9,7 +9,7 @@
 from store_client import StoreClient
 
 from bronzerelay.pooler.daemon import Plugins, PoolerDaemon, PoolerSettings
-from bronzerelay.pooler.directory import Directory, LeadRecord
+from bronzerelay.pooler.directory import Directory, PrimaryRecord
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.fleetconfig import (
     Consistency,
@@ -90,8 +90,10 @@
     return config._replace(**fields)
 
 
-def make_lead(epoch: int, settled: bool = True, **fields) -> LeadRecord:
-    record = LeadRecord(SERVICE, "orders-1", 2, epoch, "d1", settled, "orders-0", False)
+def make_lead(epoch: int, settled: bool = True, **fields) -> PrimaryRecord:
+    record = PrimaryRecord(
+        SERVICE, "orders-1", 2, epoch, "d1", settled, "orders-0", False
+    )
     return record._replace(**fields)
 
 
@@ -144,7 +146,8 @@
         others = len(names) - 1
         self.wait(
             lambda: all(
-                sum(view.mirror_at > 0 for view in one.gossip.views.values()) >= others
+                sum(view.store_revision > 0 for view in one.gossip.views.values())
+                >= others
                 for one in daemons
             ),
             "daemons hear of each other",
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -25,7 +25,7 @@
 
 
 def leader_id(directory):
-    leader = directory.find_leader(SERVICE)
+    leader = directory.find_primary(SERVICE)
     return leader.id if leader else None
 
 
@@ -73,24 +73,24 @@
         # The old primary lives on behind a cut and still says that it leads.
         directory.set_instance(make_instance("orders-0", leads=True))
         directory.set_instance(make_instance("orders-1"))
-        directory.set_lead(make_lead(3))
+        directory.set_primary_record(make_lead(3))
         assert leader_id(directory) == "orders-1"
 
     def test_deposed_primary_doesnt_lead_again(self, directory):
         directory.set_instance(make_instance("orders-0", leads=True))
-        directory.set_lead(make_lead(3))
+        directory.set_primary_record(make_lead(3))
         assert leader_id(directory) is None
 
     def test_successor_of_the_recorded_one_leads(self, directory):
         directory.set_instance(make_instance("orders-7", leads=True))
-        directory.set_lead(make_lead(3))
+        directory.set_primary_record(make_lead(3))
         assert leader_id(directory) == "orders-7"
 
     def test_older_record_changes_nothing(self, directory):
-        assert directory.set_lead(make_lead(3))
-        assert not directory.set_lead(make_lead(2, settled=False))
-        assert not directory.set_lead(make_lead(3, settled=False))
-        assert directory.leads[SERVICE].settled
+        assert directory.set_primary_record(make_lead(3))
+        assert not directory.set_primary_record(make_lead(2, settled=False))
+        assert not directory.set_primary_record(make_lead(3, settled=False))
+        assert directory.primary_records[SERVICE].settled
 
     def test_primary_that_leaves_is_used_for_a_part_of_its_time(self, directory, clock):
         # It says that it leaves and nobody can replace it. Requests that reach it when
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -69,7 +69,7 @@
         end_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < end_ms:
             self.sleep_ms(10)
-            self.poller.tend()
+            self.poller.poll_if_due()
 
 
 class TestTurns:
@@ -110,7 +110,7 @@
 
         parts.on_sleep = look
         while parts.clock.now_ms() < end_ms:
-            parts.sleep_ms(parts.poller.tend())
+            parts.sleep_ms(parts.poller.poll_if_due())
         assert parts.looks <= 30_000 / FIRST_MS + 1
 
 
@@ -138,7 +138,7 @@
     def test_daemon_behind_a_relay_goes_by_the_store_then(self):
         # Guards against following a relay that knows less than the store has.
         parts = Parts()
-        parts.mirror.goes_by_relay = lambda: True
+        parts.mirror.follows_relay = lambda: True
         assert parts.mirror._should_follow()
         parts.store.at = 9
         parts.run(FIRST_MS + BEHIND_MS + 100)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -121,11 +121,11 @@
     def test_late_beat_is_left_aside(self, pair):
         pair.first.send_round(make_beat(pair.first, "a"), pair.complete)
         early = pair.second._sock.receive(8192)
-        pair.send(pair.first, pair.second, "a", mirror_at=9)
+        pair.send(pair.first, pair.second, "a", store_revision=9)
         count = len(pair.taken)
         pair.second._take(early, lambda *_: pair.taken.append(0))
         assert len(pair.taken) == count
-        assert pair.second.views["a"].mirror_at == 9
+        assert pair.second.views["a"].store_revision == 9
 
     def test_nonsense_is_left_aside(self, pair):
         pair.first._take(b"\xc1nonsense", lambda *_: pair.taken.append(0))
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bronzerelay.pooler.heartbeats import MESH_LAG_MS, RELAY_LAG_MS
-from bronzerelay.pooler.leadership import LEASE_MARGIN_MS, LEASE_MS
+from bronzerelay.pooler.primaryguard import LEASE_MARGIN_MS, LEASE_MS
 from bronzerelay.pooler.sources import SILENT_MS
 from bronzerelay.runtime import Random
 from tests.builders_heartbeats import HeartbeatFleet
@@ -21,11 +21,11 @@
         fleet = HeartbeatFleet(2)
         first, second = fleet.daemons.values()
         lead = make_lead(4, settled=False)
-        first.directory.set_lead(lead)
-        first.guard.is_quiet = lambda service: False
+        first.directory.set_primary_record(lead)
+        first.guard.is_idle = lambda service: False
         fleet.run(1000)
         assert second.gossip.views["d0"].acknowledged == {}
-        first.guard.is_quiet = lambda service: True
+        first.guard.is_idle = lambda service: True
         fleet.run(1000)
         assert second.gossip.views["d0"].acknowledged == {lead.service: 4}
 
@@ -34,12 +34,12 @@
         first, second = fleet.daemons.values()
         first.take_lead(make_lead(4))
         fleet.run(1500)
-        assert second.directory.leads[make_lead(4).service].epoch == 4
-        beat = first.heartbeats.describe()
+        assert second.directory.primary_records[make_lead(4).service].epoch == 4
+        beat = first.heartbeats.build_beat()
         view = first.gossip.views["d1"]
-        assert first.heartbeats.complete(beat, view, 0.0).leads == []
+        assert first.heartbeats.complete_beat(beat, view, 0.0).leads == []
         # Its process may be another one by then, which knows of nothing.
-        assert first.heartbeats.complete(beat, view, None).leads != []
+        assert first.heartbeats.complete_beat(beat, view, None).leads != []
 
     @pytest.mark.parametrize("count", [2, LARGE])
     def test_end_of_a_change_is_told_to_who_knows_that_it_is_under_way(self, count):
@@ -52,7 +52,7 @@
         fleet.run(CALM_MS)
         first.take_lead(make_lead(4))
         fleet.run(CALM_MS)
-        leads = [one.directory.leads[make_lead(4).service] for one in others]
+        leads = [one.directory.primary_records[make_lead(4).service] for one in others]
         assert all(lead.settled for lead in leads)
 
     def test_heartbeat_without_room_for_all_changes_proves_nothing(self):
@@ -60,9 +60,11 @@
         # Its receiver would have a proof and not know of the other two changes.
         fleet = HeartbeatFleet(2)
         first, second = fleet.daemons.values()
-        first.directory.set_lead(make_lead(1, service="before"))
+        first.directory.set_primary_record(make_lead(1, service="before"))
         for number in range(10):
-            first.directory.set_lead(make_lead(4, settled=False, service=f"s{number}"))
+            first.directory.set_primary_record(
+                make_lead(4, settled=False, service=f"s{number}")
+            )
         second.heartbeats._take_lead = lambda record: None
         fleet.run(2000)
         assert not second.guard.has_proof()
@@ -195,7 +197,7 @@
         fleet.network.is_cut = lambda one, two: {one, two} != {"d0", "d1"}
         fleet.run(CALM_MS)
         assert not any(one.guard.has_proof() for one in pair)
-        pair[0].guard.note_store(fleet.clock.now_ms())
+        pair[0].guard.add_store_proof(fleet.clock.now_ms())
         fleet.run(700)
         assert all(one.guard.has_proof() for one in pair)
         fleet.run(LEASE_MS - 700 + 50)
@@ -257,7 +259,7 @@
                 continue
             for daemon in fleet.daemons.values():
                 checked += 1
-                if record.service not in daemon.directory.leads:
+                if record.service not in daemon.directory.primary_records:
                     assert not daemon.guard.has_proof(), daemon.name
         assert checked
 
@@ -296,10 +298,10 @@
             one for one in fleet.daemons.values() if one not in fleet.list_relays()
         )
         for daemon in fleet.daemons.values():
-            daemon.mirror.at = 7 if daemon is late else 9
+            daemon.mirror.revision = 7 if daemon is late else 9
         fleet.run(CALM_MS)
         assert late.name in self.list_behind(fleet, 9)
-        late.mirror.at = 9
+        late.mirror.revision = 9
         fleet.run(CALM_MS)
         assert self.list_behind(fleet, 9) == set()
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,18 +20,18 @@
 
     def __init__(self, revisions):
         self._revisions = revisions
-        self.at = max(revisions.values())
+        self.revision = max(revisions.values())
         self.removed = []
 
     def get(self, key):
         return next(item for item in self.list_prefix(key) if item.key == key)
 
-    def change(self, expected, puts, removed):
+    def compare_and_swap(self, expected, puts, removed):
         self.removed += removed
 
     def remove(self, name, revision):
         del self._revisions[name]
-        self.at = revision
+        self.revision = revision
 
     def list_prefix(self, prefix):
         return [
@@ -47,22 +47,22 @@
 class FakeGossip:
     """What each peer was last heard to know of the store."""
 
-    def __init__(self, mirror_at):
+    def __init__(self, store_revision):
         self.views = {}
-        for name, revision in mirror_at.items():
+        for name, revision in store_revision.items():
             self.views[name] = PeerView(name, PEER, 0.0)
-            self.views[name].mirror_at = revision
+            self.views[name].store_revision = revision
             self.views[name].knew_at = revision
 
 
-def make_members(revisions, mirror_at):
+def make_members(revisions, store_revision):
     runtime = make_runtime()
     members = Members(
         runtime,
         "d1",
         PEER,
         FakeMirror(revisions),
-        FakeGossip(mirror_at),
+        FakeGossip(store_revision),
         make_log(runtime),
     )
     members.update()
@@ -74,36 +74,36 @@
     def test_most_of_an_odd_number_are_enough(self, known, enough):
         names = [f"d{number}" for number in range(1, 6)]
         members = make_members(dict.fromkeys(names, 1), {})
-        assert members.outvotes(set(names[:known])) is enough
+        assert members.is_quorum(set(names[:known])) is enough
 
     def test_half_are_enough_where_the_others_know_the_same_list(self):
         # Daemons are split in halves, and the primary is on the side without the
         # store. Neither half may use it, and for as long as the split lasted the other
         # half didn't replace it either.
         members = make_members({"d1": 1, "d2": 2, "d3": 3, "d4": 4}, {"d3": 4, "d4": 9})
-        assert members.outvotes({"d1", "d2"})
-        assert not members.outvotes({"d1"})
+        assert members.is_quorum({"d1", "d2"})
+        assert not members.is_quorum({"d1"})
 
     def test_half_are_too_few_where_somebody_joined_unheard_of(self):
         # Three daemons are two and one, and the one is joined by a new one while it is
         # cut off from the two. These are still most of the three that they know of, go
         # on using the primary, and would read and write beside its successor.
         members = make_members({"d1": 1, "d2": 2, "d3": 3, "d4": 8}, {"d2": 3, "d3": 3})
-        assert not members.outvotes({"d1", "d4"})
+        assert not members.is_quorum({"d1", "d4"})
 
     def test_half_are_too_few_where_the_others_know_of_no_removal(self):
         # Guards against halves of a list that is shorter than the one by which the
         # other half, with the member that was removed, still has a majority.
         names = ["d1", "d2", "d3", "d4", "d5"]
         members = make_members(dict.fromkeys(names, 1), dict.fromkeys(names[1:], 5))
-        assert members.outvotes({"d1", "d2", "d3"})
+        assert members.is_quorum({"d1", "d2", "d3"})
         members._mirror.remove("d5", 8)
         members.update()
-        assert not members.outvotes({"d1", "d2"})
+        assert not members.is_quorum({"d1", "d2"})
 
     def test_half_are_too_few_where_the_others_were_never_heard_of(self):
         members = make_members({"d1": 1, "d2": 2}, {})
-        assert not members.outvotes({"d1"})
+        assert not members.is_quorum({"d1"})
 
 
 OTHERS = ("d2", "d3", "d4", "d5", "d6")
@@ -125,7 +125,7 @@
         mirror = FakeMirror(dict.fromkeys(["d1", *OTHERS], 3))
         members = Members(runtime, "d1", PEER, mirror, gossip, make_log(runtime))
         members.update()
-        members.remove_gone()
+        members.remove_silent()
         return mirror.removed
 
     def test_member_that_is_gone_for_good_is_off_the_list_after_seconds(self):
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -6,12 +6,12 @@
 import pytest
 
 from bronzerelay.pooler.mirror import (
-    Changes,
     HistoryLostError,
     Item,
     Mirror,
     PeerMirror,
     StoreError,
+    StoreItems,
 )
 from tests.builders_pooler import SetClock, make_log, make_runtime, pack_mirror
 
@@ -62,14 +62,14 @@
 
 class TestFollowing:
     def test_load_then_watch(self):
-        mirror, store, taken = run_script(Changes([A1], 1), Changes([A2], 2))
+        mirror, store, taken = run_script(StoreItems([A1], 1), StoreItems([A2], 2))
         assert mirror.get("a") == A2
         assert taken == [A1, A2]
         assert [after for after, _ in store.waits] == [1, 2]
 
     def test_removed_key(self):
         gone = Item("a", None, 2)
-        mirror, _, taken = run_script(Changes([A1], 1), Changes([gone], 2))
+        mirror, _, taken = run_script(StoreItems([A1], 1), StoreItems([gone], 2))
         assert mirror.get("a") is None
         assert taken[-1] == gone
 
@@ -77,24 +77,24 @@
         # The store forgets its history while a key is removed. Nobody will ever send
         # that removal, and an instance that is gone would be used for good.
         mirror, _, taken = run_script(
-            Changes([A1, B1], 1), HistoryLostError("gone"), Changes([A2], 5)
+            StoreItems([A1, B1], 1), HistoryLostError("gone"), StoreItems([A2], 5)
         )
         assert mirror.get("b") is None
         assert taken[-1].key == "b" and taken[-1].data is None
 
     def test_failure_is_tried_again(self):
-        mirror, _, _ = run_script(StoreError("down"), Changes([A1], 1))
+        mirror, _, _ = run_script(StoreError("down"), StoreItems([A1], 1))
         assert mirror.get("a") == A1
 
     def test_old_item_changes_nothing(self):
         # An answer that was held up brings a key as it was before.
-        mirror, _, taken = run_script(Changes([A2], 2), Changes([A1], 3))
+        mirror, _, taken = run_script(StoreItems([A2], 2), StoreItems([A1], 3))
         assert mirror.get("a") == A2
         assert taken == [A2]
 
     def test_watches_are_short_while_a_proof_is_wanted(self):
         runtime = make_runtime()
-        store = ScriptedStore(runtime, [Changes([], 1), Changes([], 1)])
+        store = ScriptedStore(runtime, [StoreItems([], 1), StoreItems([], 1)])
         mirror = Mirror(runtime, store, lambda item: None, make_log(runtime))
         mirror.wants_proof = lambda: True
         mirror.run()
@@ -123,14 +123,14 @@
     def load(self, prefix, timeout_ms):
         self.calls.append("load")
         at = self._item.revision if len(self.calls) > 1 else 1
-        return Changes([self._item] if len(self.calls) > 1 else [], at)
+        return StoreItems([self._item] if len(self.calls) > 1 else [], at)
 
     def watch(self, prefix, after, wait_ms):
         self.calls.append("watch")
         self._runtime.clock.sleep_ms(wait_ms)
         if self.calls.count("watch") == self._watches:
             self._runtime._stopping.set()
-        return Changes([], after)
+        return StoreItems([], after)
 
     def read_revision(self, timeout_ms):
         self.calls.append("poll")
@@ -147,7 +147,7 @@
         mirror = Mirror(runtime, store, lambda item: None, make_log(runtime))
         mirror.wants_proof = lambda: True
         proven = []
-        mirror.note_proof = lambda ms: proven.append((ms, mirror.get("lead")))
+        mirror.on_proof = lambda ms: proven.append((ms, mirror.get("lead")))
         mirror.run()
         return store, proven
 
@@ -166,14 +166,14 @@
 
 class TestPeers:
     def make(self):
-        mirror, _, taken = run_script(Changes([A1], 4))
+        mirror, _, taken = run_script(StoreItems([A1], 4))
         return mirror, taken
 
     def test_peer_that_is_ahead_is_taken_over(self):
         mirror, _ = self.make()
-        ahead, _, _ = run_script(Changes([A2, B1], 9))
+        ahead, _, _ = run_script(StoreItems([A2, B1], 9))
         mirror.unpack(ahead.pack(), "peer")
-        assert (mirror.get("a"), mirror.get("b"), mirror.at) == (A2, B1, 9)
+        assert (mirror.get("a"), mirror.get("b"), mirror.revision) == (A2, B1, 9)
 
     def test_peer_that_is_behind_changes_nothing(self):
         mirror, _ = self.make()
@@ -186,48 +186,48 @@
 
     def test_peer_gets_what_changed_after_its_revision(self):
         gone = Item("b", None, 8)
-        ahead, _, _ = run_script(Changes([A1, B1], 4), Changes([A2, gone], 9))
+        ahead, _, _ = run_script(StoreItems([A1, B1], 4), StoreItems([A2, gone], 9))
         encoded = zlib.decompress(ahead.pack(4))
         packed = msgspec.msgpack.decode(encoded, type=PeerMirror)
         assert packed == PeerMirror(9, [("b", None, 8)], 4)
-        mirror, _, _ = run_script(Changes([A1, B1], 4))
+        mirror, _, _ = run_script(StoreItems([A1, B1], 4))
         mirror.unpack(ahead.pack(4), "peer")
-        assert (mirror.get("b"), mirror.at) == (None, 9)
+        assert (mirror.get("b"), mirror.revision) == (None, 9)
 
     def test_peer_that_is_too_far_behind_gets_all(self):
         # A relay loads the store anew and can't tell when the keys that it lacks were
         # removed. Told only what changed, a peer would keep an instance that is gone.
         ahead, _, _ = run_script(
-            Changes([A1, B1], 4), HistoryLostError("gone"), Changes([A2], 9)
+            StoreItems([A1, B1], 4), HistoryLostError("gone"), StoreItems([A2], 9)
         )
-        mirror, _, _ = run_script(Changes([A1, B1], 4))
+        mirror, _, _ = run_script(StoreItems([A1, B1], 4))
         mirror.unpack(ahead.pack(4), "peer")
-        assert (mirror.get("b"), mirror.at) == (None, 9)
+        assert (mirror.get("b"), mirror.revision) == (None, 9)
 
     def test_changes_that_begin_after_this_mirrors_revision_are_left_aside(self):
         # The answer to an earlier question comes late, or a peer answers nonsense. What
         # changed in between would be missing for good.
         mirror, _ = self.make()
         mirror.unpack(pack_mirror(PeerMirror(9, [("z", b"1", 8)], 6)), "peer")
-        assert (mirror.get("z"), mirror.at) == (None, 4)
+        assert (mirror.get("z"), mirror.revision) == (None, 4)
 
 
 class TestRelays:
     def make(self, *steps):
         runtime = make_runtime()
-        store = ScriptedStore(runtime, [Changes([A1], 1), *steps])
+        store = ScriptedStore(runtime, [StoreItems([A1], 1), *steps])
         mirror = Mirror(runtime, store, lambda item: None, make_log(runtime))
-        mirror.goes_by_relay = lambda: True
+        mirror.follows_relay = lambda: True
         return runtime, store, mirror
 
     def test_news_of_a_relay_are_fetched_and_the_store_isnt_asked(self):
         runtime, store, mirror = self.make()
-        relay, _, _ = run_script(Changes([A2], 9))
+        relay, _, _ = run_script(StoreItems([A2], 9))
         fetched = []
 
         def fetch(address):
             fetched.append(address)
-            mirror.unpack(relay.pack(mirror.at), "relay")
+            mirror.unpack(relay.pack(mirror.revision), "relay")
             runtime._stopping.set()
             return True
 
@@ -235,12 +235,12 @@
         mirror.note_told(9, "relay")
         mirror.run()
         assert (fetched, store.waits) == (["relay"], [])
-        assert (mirror.get("a"), mirror.at) == (A2, 9)
+        assert (mirror.get("a"), mirror.revision) == (A2, 9)
 
     def test_daemon_whose_relay_gives_nothing_goes_by_the_store(self):
         # A relay is heard, but its link is too narrow to send its mirror in time. A key
         # that was withdrawn would go on working behind it.
-        _, store, mirror = self.make(Changes([A2], 9))
+        _, store, mirror = self.make(StoreItems([A2], 9))
         mirror.fetch = lambda address: False
         mirror.note_told(9, "relay")
         mirror.run()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -64,7 +64,7 @@
         # A commit was acknowledged and lost when its primary crashed, and nothing was
         # committed since. Each later read of its session would wait for it and be
         # refused.
-        placement._directory.set_lead(make_lead(1))
+        placement._directory.set_primary_record(make_lead(1))
         positions = placement.positions_of(SERVICE)
         positions.note(clock.now_ms(), Position(1, 71))
         need = placement.work_out_need(OWN, Position(1, 90))
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -10,9 +10,9 @@
 from failover_call import FailoverCall
 from store_client import StoreClient
 
-from bronzerelay.pooler.changes import Promotion
 from bronzerelay.pooler.httpcalls import CallLostError, HttpClient
 from bronzerelay.pooler.mirror import ConflictError, HistoryLostError, StoreError
+from bronzerelay.pooler.primarychanges import Promotion
 from bronzerelay.runtime import Address
 from standins.kvstore import PAGE_ITEMS, KvStore
 from standins.linecaller import LineCaller
@@ -63,11 +63,11 @@
 
     def test_change_and_conflict(self, runtime, store):
         client = StoreClient(runtime, store.address)
-        revision = client.change({"k": 0}, {"k": b"one"}, [], 1000)
+        revision = client.compare_and_swap({"k": 0}, {"k": b"one"}, [], 1000)
         assert store.items["k"].data == b"one"
         with pytest.raises(ConflictError):
-            client.change({"k": 0}, {"k": b"two"}, [], 1000)
-        client.change({"k": revision}, {}, ["k"], 1000)
+            client.compare_and_swap({"k": 0}, {"k": b"two"}, [], 1000)
+        client.compare_and_swap({"k": revision}, {}, ["k"], 1000)
         assert "k" not in store.items
 
     def test_watch(self, runtime, store):
@@ -77,7 +77,7 @@
         store.remove("k")
         changes = client.watch("", at, 100)
         assert [item.data for item in changes.items] == [b"one", None]
-        assert client.watch("", changes.at, 50).items == []
+        assert client.watch("", changes.revision, 50).items == []
 
     def test_revision(self, runtime, store):
         client = StoreClient(runtime, store.address)
@@ -93,7 +93,9 @@
     def test_lost_answer_may_have_run(self, runtime, store):
         store.lose = 1
         with pytest.raises(StoreError) as caught:
-            StoreClient(runtime, store.address).change({"k": 0}, {"k": b"x"}, [], 1000)
+            StoreClient(runtime, store.address).compare_and_swap(
+                {"k": 0}, {"k": b"x"}, [], 1000
+            )
         assert caught.value.may_have_run
         assert store.items["k"].data == b"x"
 
@@ -101,7 +103,9 @@
     def test_refused_call_did_nothing(self, runtime, store, status):
         store.status = status
         with pytest.raises(StoreError) as caught:
-            StoreClient(runtime, store.address).change({"k": 0}, {"k": b"x"}, [], 1000)
+            StoreClient(runtime, store.address).compare_and_swap(
+                {"k": 0}, {"k": b"x"}, [], 1000
+            )
         assert not caught.value.may_have_run
 
     def test_silent_store_is_given_up_in_time(self, runtime, store):
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -3,10 +3,10 @@
 import pytest
 
 from bronzerelay.pooler import contacts, session
-from bronzerelay.pooler.changes import CLOSE_ENTRIES
 from bronzerelay.pooler.httpcalls import CallLostError
-from bronzerelay.pooler.mirror import GATHER_MS
+from bronzerelay.pooler.mirror import BATCH_PAUSE_MS
 from bronzerelay.pooler.placement import POSITION_AGE_MS
+from bronzerelay.pooler.primarychanges import CLOSE_ENTRIES
 from bronzerelay.pooler.runner import share_slots
 from bronzerelay.runtime import Address
 from standins.linecaller import LineCaller
@@ -410,7 +410,7 @@
             lambda: all(
                 record.settled
                 for daemon in fleet.daemons.values()
-                for record in daemon.directory.leads.values()
+                for record in daemon.directory.primary_records.values()
             ),
             "a settled change",
         )
@@ -494,7 +494,7 @@
         caller.send("QUERY x1 STORE a 1")
         fleet.wait(lambda: daemon.pool.opened > 0, "a link is being opened")
         fleet.runtime.clock.sleep_ms(50)
-        assert daemon.guard.is_quiet(SERVICE)
+        assert daemon.guard.is_idle(SERVICE)
         dark.close()
 
     def test_former_primary_that_lives_on_isnt_used(self, fleet):
@@ -509,7 +509,7 @@
             "bronzerelay/leads/orders",
             ["orders", "orders-1", 2, 9, "d9", True, "orders-0", False],
         )
-        fleet.wait(lambda: daemon.directory.leads, "the record")
+        fleet.wait(lambda: daemon.directory.primary_records, "the record")
         before = len(old.log)
         run_ok(caller, "STORE b 2")
         assert len(old.log) == before
@@ -608,7 +608,7 @@
         wait_for_long_watches(fleet)
         fleet.store.swallow = True
         wait_for_version(fleet, daemons, fleet.platform.configure())
-        fleet.runtime.clock.sleep_ms(2 * GATHER_MS)
+        fleet.runtime.clock.sleep_ms(2 * BATCH_PAUSE_MS)
         wait_for_long_watches(fleet)
         fleet.store.swallow = False
         wait_for_version(fleet, daemons, fleet.platform.configure())
--- a/tests/test_changes.py
+++ b/tests/test_primarychanges.py
@@ -3,22 +3,22 @@
 import msgspec
 import pytest
 
-from bronzerelay.pooler.changes import (
+from bronzerelay.pooler.counters import Counters
+from bronzerelay.pooler.directory import PrimaryRecord
+from bronzerelay.pooler.messages import InstanceStatus, Position
+from bronzerelay.pooler.mirror import ConflictError, Item, StoreError
+from bronzerelay.pooler.placement import Placement
+from bronzerelay.pooler.primarychanges import (
     DEAD_AFTER_MS,
     HOLD_MS,
-    LEAD_PREFIX,
     LEADERLESS_MS,
+    PRIMARY_RECORD_PREFIX,
     TAKEOVER_MS,
     FleetView,
-    LeadChanges,
+    PrimaryChangeCoordinator,
     Promotion,
 )
-from bronzerelay.pooler.counters import Counters
-from bronzerelay.pooler.directory import LeadRecord
-from bronzerelay.pooler.leadership import LEASE_MS
-from bronzerelay.pooler.messages import InstanceStatus, Position
-from bronzerelay.pooler.mirror import ConflictError, Item, StoreError
-from bronzerelay.pooler.placement import Placement
+from bronzerelay.pooler.primaryguard import LEASE_MS
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
     SetClock,
@@ -30,7 +30,7 @@
 )
 
 PRIMARY, FIRST, SECOND = "orders-0", "orders-1", "orders-2"
-KEY = LEAD_PREFIX + SERVICE
+KEY = PRIMARY_RECORD_PREFIX + SERVICE
 
 
 class FakeMirror:
@@ -46,13 +46,13 @@
 
     read = get
 
-    def change(self, expected, puts, removed):
+    def compare_and_swap(self, expected, puts, removed):
         known = self.items.get(KEY)
         if expected[KEY] != (known.revision if known else 0):
             raise ConflictError("another revision")
         revision = expected[KEY] + 1
         self.items[KEY] = Item(KEY, puts[KEY], revision)
-        self.writes.append(msgspec.json.decode(puts[KEY], type=LeadRecord))
+        self.writes.append(msgspec.json.decode(puts[KEY], type=PrimaryRecord))
         if self.lose:
             self.lose -= 1
             raise StoreError("the answer was lost", True)
@@ -82,7 +82,7 @@
         self.on_promote = lambda: None
         for name in (PRIMARY, FIRST, SECOND):
             self.directory.set_instance(make_instance(name, leads=name == PRIMARY))
-        self.changes = LeadChanges(
+        self.changes = PrimaryChangeCoordinator(
             self.runtime,
             "d1",
             self.directory,
@@ -107,7 +107,7 @@
         return True
 
     def announce(self, record):
-        self.directory.set_lead(record)
+        self.directory.set_primary_record(record)
 
     def ask_status(self, entry, timeout_ms):
         received = self.received.get(entry.id)
@@ -131,7 +131,7 @@
     def tend_for(self, duration_ms):
         end_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < end_ms:
-            self.changes.tend()
+            self.changes.start_due_changes()
             self.clock.sleep_ms(100)
 
 
@@ -162,7 +162,7 @@
         scene.kill_primary()
         scene.tend_for(DEAD_AFTER_MS + 2000)
         assert scene.orders == [(SECOND, 1)]
-        assert scene.directory.find_leader(SERVICE).id == SECOND
+        assert scene.directory.find_primary(SERVICE).id == SECOND
 
     def test_primary_that_a_peer_still_reaches_stays(self, scene):
         # The primary is cut from this daemon only. Promoting another one would roll
@@ -181,7 +181,7 @@
         for _ in range(3):
             scene.placement.note_trouble(entry, scene.clock.now_ms())
         scene.clock.sleep_ms(5000)
-        scene.directory.set_lead(make_lead(1, instance=SECOND))
+        scene.directory.set_primary_record(make_lead(1, instance=SECOND))
         positions = scene.placement.positions_of(SERVICE)
         positions.restart()
         scene.tend_for(DEAD_AFTER_MS - 100)
@@ -190,7 +190,7 @@
     def test_change_whose_holder_writes_its_record_again_is_left_to_it(self, scene):
         # The holder waits for daemons behind a cut. A second one that begins the change
         # anew doesn't know whether the first has ordered a promotion.
-        scene.directory.set_lead(make_lead(1, settled=False, holder="d9"))
+        scene.directory.set_primary_record(make_lead(1, settled=False, holder="d9"))
         for revision in range(1, 12):
             scene.mirror.items[KEY] = Item(KEY, b"", revision)
             scene.tend_for(TAKEOVER_MS / 3)
@@ -202,12 +202,12 @@
         assert scene.orders == [(SECOND, 1)]
 
     def test_change_of_a_living_holder_is_left_to_it(self, scene):
-        scene.directory.set_lead(make_lead(4, settled=False, holder="d2"))
+        scene.directory.set_primary_record(make_lead(4, settled=False, holder="d2"))
         scene.tend_for(TAKEOVER_MS - 200)
         assert scene.orders == []
 
     def test_stalled_change_is_taken_over_under_a_higher_epoch(self, scene):
-        scene.directory.set_lead(make_lead(4, settled=False, holder="d2"))
+        scene.directory.set_primary_record(make_lead(4, settled=False, holder="d2"))
         scene.tend_for(TAKEOVER_MS + 2000)
         assert [epoch for _, epoch in scene.orders] == [5]
 
@@ -281,9 +281,9 @@
         scene.on_sleep = heal
         scene.tend_for(DEAD_AFTER_MS + 1500)
         assert scene.orders == []
-        record = scene.directory.leads[SERVICE]
+        record = scene.directory.primary_records[SERVICE]
         assert (record.settled, record.instance, record.deposed) == (True, PRIMARY, "")
-        assert scene.directory.find_leader(SERVICE).id == PRIMARY
+        assert scene.directory.find_primary(SERVICE).id == PRIMARY
 
     def test_lost_answer_of_the_store_is_read_back(self, scene):
         scene.mirror.lose = 1
@@ -292,14 +292,14 @@
 
     def test_duty_of_another_daemon_is_respected(self, scene):
         scene.mirror.items[KEY] = Item(KEY, b"[]", 3)
-        real = scene.mirror.change
+        real = scene.mirror.compare_and_swap
 
         def lose_race(expected, puts, removed):
             scene.mirror.items[KEY] = Item(KEY, b"other", 9)
-            scene.directory.set_lead(make_lead(9, settled=False, holder="d2"))
+            scene.directory.set_primary_record(make_lead(9, settled=False, holder="d2"))
             return real(expected, puts, removed)
 
-        scene.mirror.change = lose_race
+        scene.mirror.compare_and_swap = lose_race
         self.start(scene)
         assert scene.orders == []
 
@@ -333,13 +333,13 @@
     def test_outcome_is_told_though_the_store_is_out(self, scene):
         # The store goes out between the promotion and the note of it. Callers would
         # wait for the store though a primary leads.
-        real = scene.mirror.change
+        real = scene.mirror.compare_and_swap
 
         def fail_second(expected, puts, removed):
             if scene.orders:
                 raise StoreError("down")
             return real(expected, puts, removed)
 
-        scene.mirror.change = fail_second
+        scene.mirror.compare_and_swap = fail_second
         self.start(scene)
-        assert scene.directory.find_leader(SERVICE).id == SECOND
+        assert scene.directory.find_primary(SERVICE).id == SECOND
--- a/tests/test_leadership.py
+++ b/tests/test_primaryguard.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bronzerelay.codes import Code
-from bronzerelay.pooler.leadership import LATE_MS, LEASE_MS, LeadGuard
+from bronzerelay.pooler.primaryguard import LATE_MS, LEASE_MS, PrimaryGuard
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
     SetClock,
@@ -29,8 +29,8 @@
 
 @pytest.fixture
 def guard(clock, directory):
-    guard = LeadGuard(make_runtime(clock), directory)
-    guard.note_store(clock.now_ms())
+    guard = PrimaryGuard(make_runtime(clock), directory)
+    guard.add_store_proof(clock.now_ms())
     return guard
 
 
@@ -38,9 +38,9 @@
     def test_without_a_proof_the_primary_isnt_used(self, guard, clock):
         # A daemon is cut off and its primary is replaced meanwhile. What it reads there
         # is old, and what it writes there is lost.
-        assert guard.enter(SERVICE, "orders-0") is None
+        assert guard.begin_use(SERVICE, "orders-0") is None
         clock.sleep_ms(LEASE_MS + 1)
-        assert guard.enter(SERVICE, "orders-0").code is Code.ISOLATED
+        assert guard.begin_use(SERVICE, "orders-0").code is Code.ISOLATED
 
     def test_time_frozen_counts(self, guard, clock):
         clock.sleep_ms(5000)
@@ -66,26 +66,26 @@
 
 class TestChanges:
     def test_change_under_way_stops_all_use(self, guard, directory):
-        directory.set_lead(make_lead(1, settled=False))
-        assert guard.enter(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
+        directory.set_primary_record(make_lead(1, settled=False))
+        assert guard.begin_use(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
 
     def test_answer_that_came_during_a_change_isnt_believed(self, guard, directory):
         # A write was sent before the change and its answer comes after it began. The
         # instance that is promoted may lack it.
-        assert guard.enter(SERVICE, "orders-0") is None
-        directory.set_lead(make_lead(1, settled=False))
-        assert not guard.still_leads(SERVICE, "orders-0")
+        assert guard.begin_use(SERVICE, "orders-0") is None
+        directory.set_primary_record(make_lead(1, settled=False))
+        assert not guard.is_still_primary(SERVICE, "orders-0")
 
     def test_quiet_once_all_uses_have_ended(self, guard):
-        guard.enter(SERVICE, "orders-0")
-        assert not guard.is_quiet(SERVICE)
-        guard.leave(SERVICE)
-        assert guard.is_quiet(SERVICE)
+        guard.begin_use(SERVICE, "orders-0")
+        assert not guard.is_idle(SERVICE)
+        guard.end_use(SERVICE)
+        assert guard.is_idle(SERVICE)
 
     def test_settled_change_names_the_new_primary(self, guard, directory):
-        directory.set_lead(make_lead(1))
-        assert guard.enter(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
-        assert guard.enter(SERVICE, "orders-1") is None
+        directory.set_primary_record(make_lead(1))
+        assert guard.begin_use(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
+        assert guard.begin_use(SERVICE, "orders-1") is None
 
 
 class TestStoreProofs:
@@ -93,12 +93,12 @@
         # A daemon hears of few others and goes by the store. Asked only once the last
         # proof has run out, it leaves the daemon without one for a third of the time.
         guard.note_members([clock.now_ms()] * 3)
-        assert not guard.needs_store()
+        assert not guard.needs_store_proof()
         clock.sleep_ms(LATE_MS + 1)
         assert guard.has_proof()
-        assert guard.needs_store()
-        guard.note_store(clock.now_ms())
-        assert guard.needs_store()
+        assert guard.needs_store_proof()
+        guard.add_store_proof(clock.now_ms())
+        assert guard.needs_store_proof()
 
 
 class TestQuiet:
@@ -106,10 +106,10 @@
         # A change of primary waits for what is under way at the old one. Told only with
         # the next heartbeat, its end kept the service without a primary for longer.
         told = []
-        guard.note_quiet = told.append
-        guard.enter(SERVICE, "orders-0")
-        guard.enter(SERVICE, "orders-0")
-        guard.leave(SERVICE)
-        assert (guard.is_quiet(SERVICE), told) == (False, [])
-        guard.leave(SERVICE)
-        assert (guard.is_quiet(SERVICE), told) == (True, [SERVICE])
+        guard.on_idle = told.append
+        guard.begin_use(SERVICE, "orders-0")
+        guard.begin_use(SERVICE, "orders-0")
+        guard.end_use(SERVICE)
+        assert (guard.is_idle(SERVICE), told) == (False, [])
+        guard.end_use(SERVICE)
+        assert (guard.is_idle(SERVICE), told) == (True, [SERVICE])
