--- a/bronzerelay/pooler/catchup.py
+++ b/bronzerelay/pooler/catchup.py
@@ -4,7 +4,7 @@
 
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.gossip import Gossip
-from bronzerelay.pooler.httpcalls import CallLostError, HttpClient
+from bronzerelay.pooler.httpcalls import HttpCallError, HttpClient
 from bronzerelay.pooler.mirror import BEHIND_MS, Mirror, Store
 from bronzerelay.runtime import Address, Runtime
 
@@ -78,7 +78,7 @@
                 return False
             self._mirror.unpack(answer.body, str(address))
             return True
-        except (CallLostError, ValueError) as error:
+        except (HttpCallError, ValueError) as error:
             self._log.write_request(
                 "store", "A peer gave no mirror.", peer=str(address), error=str(error)
             )
--- a/bronzerelay/pooler/changes.py
+++ b/bronzerelay/pooler/changes.py
@@ -179,7 +179,7 @@
         if len(since_ms) < DEAD_FAILURES or now_ms - min(since_ms) < DEAD_AFTER_MS:
             return False
         # What was missed of it before it led says nothing about the new primary.
-        last_ms = self._placement.positions_of(leader.service).last_ms()
+        last_ms = self._placement.positions_of(leader.service).last_seen_ms()
         return now_ms - last_ms > DEAD_AFTER_MS
 
     def _is_turn(self, service: str, reason: str) -> bool:
@@ -227,7 +227,7 @@
         leaving = [
             entry
             for entry in self._directory.list_instances(service)
-            if entry.leaving and entry.claims_lead
+            if entry.leaving and entry.claims_primary
         ]
         ended = [self._ask_status(entry, STATUS_TIMEOUT_MS) for entry in leaving]
         ends = [status.received for status in ended if status is not None]
@@ -401,7 +401,7 @@
         if self._reason != "dead" or waited_ms < LONG_WAIT_MS:
             return None
         status = self._ask(self._old_entry) if self._old_entry else None
-        if status is None or not status.leads:
+        if status is None or not status.is_primary:
             return None
         entry = self._wait_for_entry()
         if entry is None or entry.leaving:
@@ -483,7 +483,7 @@
         while self._clock.now_ms() < end_ms:
             self._pause()
             status = self._ask(entry)
-            if status is not None and status.leads:
+            if status is not None and status.is_primary:
                 return status.term
         self._say("The promoted instance doesn't lead yet.", instance=entry.id)
         return None
--- a/bronzerelay/pooler/daemon.py
+++ b/bronzerelay/pooler/daemon.py
@@ -27,7 +27,7 @@
 from bronzerelay.pooler.gossip import Gossip
 from bronzerelay.pooler.heartbeats import Heartbeats
 from bronzerelay.pooler.httpcalls import (
-    HttpAnswer,
+    HttpResponse,
     PageServer,
 )
 from bronzerelay.pooler.leadership import LeadGuard
@@ -233,16 +233,16 @@
             and bool(self.directory.instances)
         )
 
-    def show_page(self, path: str) -> HttpAnswer:
+    def show_page(self, path: str) -> HttpResponse:
         """Return the page at a path."""
         path, _, query = path.partition("?")
         if path == READY_PATH:
-            return HttpAnswer(200 if self.is_ready() else 503, b"")
+            return HttpResponse(200 if self.is_ready() else 503, b"")
         if path == MIRROR_PATH:
-            return HttpAnswer(200, self.mirror.pack(read_after(query)))
+            return HttpResponse(200, self.mirror.pack(read_after(query)))
         if path == METRICS_PATH:
-            return HttpAnswer(200, self.counters.render(self._list_gauges()))
-        return HttpAnswer(404, b"")
+            return HttpResponse(200, self.counters.render(self._list_gauges()))
+        return HttpResponse(404, b"")
 
     def _list_gauges(self) -> dict[str, float]:
         return {
@@ -296,7 +296,7 @@
         if not self.directory.set_lead(record):
             return
         if record.settled:
-            self.placement.positions_of(record.service).restart()
+            self.placement.positions_of(record.service).reset()
         elif not record.planned:
             # A dead primary answers nothing, and the change would wait for timeouts.
             self.pool.break_links(record.deposed)
@@ -475,6 +475,6 @@
     os._exit(0)
 
 
-def count_tasks(settings: PoolerSettings) -> int:
+def max_tasks(settings: PoolerSettings) -> int:
     """Return how many tasks a daemon with these settings may need."""
     return settings.max_sessions + OWN_TASKS
--- a/bronzerelay/pooler/directory.py
+++ b/bronzerelay/pooler/directory.py
@@ -104,7 +104,7 @@
             "An instance changed.",
             instance=entry.id,
             service=entry.service,
-            leads=entry.claims_lead,
+            leads=entry.claims_primary,
             leaving=entry.leaving,
             born_ms=entry.born_ms,
         )
@@ -196,7 +196,7 @@
                 return None if self.is_past_leaving(named) else named
         for entry in self.list_instances(service):
             deposed = record is not None and entry.id == record.deposed
-            if entry.claims_lead and not deposed and not self.is_past_leaving(entry):
+            if entry.claims_primary and not deposed and not self.is_past_leaving(entry):
                 return entry
         return None
 
--- a/bronzerelay/pooler/fleetconfig.py
+++ b/bronzerelay/pooler/fleetconfig.py
@@ -65,6 +65,6 @@
     address: Address
     slots: int
     leaving: bool
-    claims_lead: bool
+    claims_primary: bool
     # When it started, by its own clock: an id may start again and know nothing.
     born_ms: int
--- a/bronzerelay/pooler/fleetrates.py
+++ b/bronzerelay/pooler/fleetrates.py
@@ -181,7 +181,7 @@
             heard += 0 if source.is_silent(now_ms) else source.heard
         return heard, members
 
-    def note_report(
+    def apply_report(
         self, peer: str, incarnation: int, heard_at_ms: float, report: Report
     ) -> None:
         """Take what a peer tells as admitted out of the buckets.
--- a/bronzerelay/pooler/heartbeats.py
+++ b/bronzerelay/pooler/heartbeats.py
@@ -16,7 +16,7 @@
 from bronzerelay.pooler.messages import Position
 from bronzerelay.pooler.mirror import Mirror
 from bronzerelay.pooler.placement import Placement
-from bronzerelay.pooler.sources import NO_REPORT, Scope, SourceGroup
+from bronzerelay.pooler.sources import EMPTY_REPORT, Scope, SourceGroup
 from bronzerelay.rendezvous import rank
 from bronzerelay.runtime import Runtime
 
@@ -179,7 +179,7 @@
             self.is_stopping,
             self._mirror.at,
             int(store_age_ms) + 1,
-            NO_REPORT,
+            EMPTY_REPORT,
             positions,
             {},
             [],
@@ -293,7 +293,7 @@
 
     def take(self, beat: Beat, view: PeerView, proven_ms: float) -> None:
         """Take a peer's heartbeat, which counts from `proven_ms`."""
-        self._rates.note_report(beat.sender, beat.incarnation, proven_ms, beat.report)
+        self._rates.apply_report(beat.sender, beat.incarnation, proven_ms, beat.report)
         for record in beat.leads:
             self._take_lead(record)
         if view.relaying and not self._plan.relaying:
@@ -308,7 +308,7 @@
             known = self._directory.leads.get(service)
             if beat.acknowledged.get(service) == (known.epoch if known else None):
                 positions = self._placement.positions_of(service)
-                positions.note(proven_ms - age_ms, Position(term, number))
+                positions.add_sample(proven_ms - age_ms, Position(term, number))
         if self._plan.relaying and self._tells_of_change(view):
             self._gossip.hurry()
         if beat.asks:
--- a/bronzerelay/pooler/httpcalls.py
+++ b/bronzerelay/pooler/httpcalls.py
@@ -28,14 +28,14 @@
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A response: its status and its whole body."""
 
     status: int
     body: bytes
 
 
-class CallLostError(Exception):
+class HttpCallError(Exception):
     """No whole response came; `may_have_run` says whether the call may have arrived."""
 
     def __init__(self, message: str, may_have_run: bool):
@@ -80,8 +80,8 @@
         body: bytes,
         timeout_ms: float,
         headers: dict[str, str] | None = None,
-    ) -> HttpAnswer:
-        """Return the response, or raise CallLostError within `timeout_ms`."""
+    ) -> HttpResponse:
+        """Return the response, or raise HttpCallError within `timeout_ms`."""
         deadline_ms = self._clock.now_ms() + timeout_ms
         with self._lock:
             connection = self._connect(timeout_ms)
@@ -92,7 +92,7 @@
             except (OSError, ValueError, httptools.HttpParserError) as error:
                 # A late response would be taken for that of the next call.
                 self._forget()
-                raise CallLostError(f"{self._address}: {error}", True) from None
+                raise HttpCallError(f"{self._address}: {error}", True) from None
             if not keep:
                 self._forget()
             return answer
@@ -106,7 +106,7 @@
                 self._connection = self._runtime.dial(self._address, limit_ms)
             except OSError as error:
                 message = f"{self._address} can't be reached: {error}"
-                raise CallLostError(message, False) from None
+                raise HttpCallError(message, False) from None
         return self._connection
 
     def _forget(self) -> None:
@@ -127,7 +127,7 @@
 
     def _receive(
         self, connection: Connection, deadline_ms: float
-    ) -> tuple[HttpAnswer, bool]:
+    ) -> tuple[HttpResponse, bool]:
         collector = _Collector()
         parser = httptools.HttpResponseParser(collector)
         while not collector.complete:
@@ -139,7 +139,7 @@
             if not data:
                 raise ConnectionLostError("the connection ended before the response")
             parser.feed_data(data)
-        answer = HttpAnswer(parser.get_status_code(), bytes(collector.body))
+        answer = HttpResponse(parser.get_status_code(), bytes(collector.body))
         return answer, parser.should_keep_alive()
 
     def interrupt(self) -> None:
@@ -150,7 +150,7 @@
 
 
 # Returns a status and a body for a path.
-Page = Callable[[str], HttpAnswer]
+Page = Callable[[str], HttpResponse]
 
 
 class PageServer:
--- a/bronzerelay/pooler/links.py
+++ b/bronzerelay/pooler/links.py
@@ -181,16 +181,16 @@
         steps = []
         surplus = any(name not in values for name in self._values)
         if surplus or len(self._prepared) > PREPARED_LIMIT:
-            steps.append(self._codec.write_discard())
+            steps.append(self._codec.format_discard())
             self._values = {}
             self._prepared = set()
         for name, value in values.items():
             if self._values.get(name) != value:
-                steps.append(self._codec.write_set(name, value))
+                steps.append(self._codec.format_set(name, value))
         if needed is not None:
             name = name_prepared(needed)
             if name not in self._prepared:
-                steps.append(self._codec.write_prepare(name, needed))
+                steps.append(self._codec.format_prepare(name, needed))
                 self._prepared.add(name)
         return steps
 
--- a/bronzerelay/pooler/messages.py
+++ b/bronzerelay/pooler/messages.py
@@ -145,7 +145,7 @@
 class InstanceStatus(NamedTuple):
     """Where an instance stands: its role, its term and what it has received."""
 
-    leads: bool
+    is_primary: bool
     term: int
     received: Position
 
@@ -163,11 +163,11 @@
     encode_startup: Callable[[str, str, str], bytes]
     encode_query: Callable[[str, str, Position | None], bytes]
     decode_instance: Callable[[bytes], AnswerLine]
-    write_begin: Callable[[bool], str]
-    write_set: Callable[[str, str], str]
-    write_prepare: Callable[[str, Prepared], str]
-    write_execute: Callable[[str, str], str]
-    write_discard: Callable[[], str]
-    write_rollback: Callable[[], str]
-    write_status: Callable[[], str]
-    read_status: Callable[[str], InstanceStatus | None]
+    format_begin: Callable[[bool], str]
+    format_set: Callable[[str, str], str]
+    format_prepare: Callable[[str, Prepared], str]
+    format_execute: Callable[[str, str], str]
+    format_discard: Callable[[], str]
+    format_rollback: Callable[[], str]
+    format_status: Callable[[], str]
+    parse_status: Callable[[str], InstanceStatus | None]
--- a/bronzerelay/pooler/placement.py
+++ b/bronzerelay/pooler/placement.py
@@ -103,14 +103,14 @@
 
     # What answers tell
 
-    def note_answer(self, entry: InstanceEntry, took_ms: float) -> None:
+    def record_answer(self, entry: InstanceEntry, took_ms: float) -> None:
         """Note how long an instance took for an answer."""
         view = self.view_of(entry.id)
         view.answer_ms += ANSWER_WEIGHT * (took_ms - view.answer_ms)
         view.trouble_until_ms = 0.0
         view.failures = 0
 
-    def note_trouble(self, entry: InstanceEntry, sent_at_ms: float) -> None:
+    def record_failure(self, entry: InstanceEntry, sent_at_ms: float) -> None:
         """Note that an instance gave no answer to what was sent at `sent_at_ms`."""
         view = self.view_of(entry.id)
         now_ms = self._clock.now_ms()
@@ -119,7 +119,7 @@
             view.failing_since_ms = sent_at_ms
         view.failures += 1
 
-    def note_position(
+    def record_position(
         self, entry: InstanceEntry, position: Position | None, sent_at_ms: float
     ) -> None:
         """Note the end of an instance's log as of a request sent at `sent_at_ms`."""
@@ -130,7 +130,7 @@
         view.position_at_ms = sent_at_ms
         leader = self._directory.find_leader(entry.service)
         if leader is not None and leader.id == entry.id:
-            self.positions_of(entry.service).note_own(sent_at_ms, position)
+            self.positions_of(entry.service).add_own_sample(sent_at_ms, position)
 
     # Choosing
 
@@ -173,7 +173,7 @@
             is_leader = leader is not None and leader.id == entry.id
             if is_leader and not has_proof:
                 continue
-            if not is_leader and entry.claims_lead:
+            if not is_leader and entry.claims_primary:
                 # Two claim to lead: the other one's log may part from the leader's.
                 continue
             view = self.view_of(entry.id)
--- a/bronzerelay/pooler/positions.py
+++ b/bronzerelay/pooler/positions.py
@@ -35,11 +35,11 @@
         self._lock = runtime.make_lock()
         self._samples: deque[Sample] = deque(maxlen=SAMPLES)
         # Since when another instance leads, as far as this daemon has seen it.
-        self.restarted_at_ms = -math.inf
+        self.reset_at_ms = -math.inf
         # The newest one that this daemon has from the primary itself.
         self.own: Sample | None = None
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget all samples, since another instance leads now.
 
         Its log lacks what only its predecessor had. A replica never reaches such a
@@ -48,15 +48,15 @@
         with self._lock:
             self._samples.clear()
             self.own = None
-            self.restarted_at_ms = self._clock.now_ms()
+            self.reset_at_ms = self._clock.now_ms()
 
-    def note_own(self, at_ms: float, position: Position) -> None:
+    def add_own_sample(self, at_ms: float, position: Position) -> None:
         """Note what the primary itself has told this daemon."""
         if self.own is None or at_ms > self.own.at_ms:
             self.own = Sample(at_ms, position)
-        self.note(at_ms, position)
+        self.add_sample(at_ms, position)
 
-    def note(self, at_ms: float, position: Position) -> None:
+    def add_sample(self, at_ms: float, position: Position) -> None:
         """Note that the primary's log ended at `position` at `at_ms` or later."""
         with self._lock:
             last = self._samples[-1] if self._samples else None
@@ -68,10 +68,10 @@
         with self._lock:
             return self._samples[-1] if self._samples else None
 
-    def last_ms(self) -> float:
+    def last_seen_ms(self) -> float:
         """Return when the primary was last heard of, or began to lead."""
         with self._lock:
-            return self._samples[-1].at_ms if self._samples else self.restarted_at_ms
+            return self._samples[-1].at_ms if self._samples else self.reset_at_ms
 
     def find_floor(self, max_age_ms: float) -> Position | None:
         """Return the least position that a log must hold to be young enough.
--- a/bronzerelay/pooler/runner.py
+++ b/bronzerelay/pooler/runner.py
@@ -369,7 +369,7 @@
         self, entry: InstanceEntry, error: LinkError, began_ms: float
     ) -> Answer:
         if error.fault is Fault.UNREACHABLE:
-            self._placement.note_trouble(entry, began_ms)
+            self._placement.record_failure(entry, began_ms)
         if error.fault is Fault.TOO_MANY_LINKS:
             self._pool.make_room(entry.id)
         return Answer(fault=error.fault, detail=error.detail)
@@ -379,7 +379,7 @@
         text = job.statement.text
         if job.prepared is not None:
             name = name_prepared(job.prepared)
-            text = self._codec.write_execute(name, job.statement.arguments)
+            text = self._codec.format_execute(name, job.statement.arguments)
         sent_at_ms = self._clock.now_ms()
         answer = link.call(job.statement.id, text, floor, job.deadline_ms)
         if answer.fault is Fault.UNPREPARED:
@@ -390,10 +390,10 @@
     def _learn(self, entry: InstanceEntry, answer: Answer, sent_at_ms: float) -> None:
         took_ms = self._clock.now_ms() - sent_at_ms
         if answer.fault in (Fault.LOST, Fault.TIMED_OUT):
-            self._placement.note_trouble(entry, sent_at_ms)
+            self._placement.record_failure(entry, sent_at_ms)
             return
-        self._placement.note_answer(entry, took_ms)
-        self._placement.note_position(entry, answer.position, sent_at_ms)
+        self._placement.record_answer(entry, took_ms)
+        self._placement.record_position(entry, answer.position, sent_at_ms)
 
     def _has_time(self, job: Job) -> bool:
         return self._clock.now_ms() < job.deadline_ms
@@ -472,7 +472,7 @@
     def _send_begin(
         self, link: InstanceLink, job: Job, read_only: bool, floor: Position | None
     ) -> Answer:
-        text = self._codec.write_begin(read_only)
+        text = self._codec.format_begin(read_only)
         sent_at_ms = self._clock.now_ms()
         answer = link.call(OWN_ID, text, floor, job.deadline_ms)
         self._learn(link.entry, answer, sent_at_ms)
@@ -534,7 +534,7 @@
         """Roll the transaction back and take the link back; a link in doubt closes."""
         if link.usable and link.in_transaction:
             deadline_ms = self._clock.now_ms() + NO_PRIMARY_RETRY_MS
-            link.call(OWN_ID, self._codec.write_rollback(), None, deadline_ms)
+            link.call(OWN_ID, self._codec.format_rollback(), None, deadline_ms)
         self.end(link)
 
     def end(self, link: InstanceLink) -> None:
@@ -554,14 +554,14 @@
             self._log_status(entry, str(error))
             return None
         try:
-            text = self._codec.write_status()
+            text = self._codec.format_status()
             answer = link.call(OWN_ID, text, None, deadline_ms)
         finally:
             self._pool.give_back(link, self.keep_links(entry.service))
         if answer.fault is not None or not answer.rows:
             self._log_status(entry, answer.detail)
             return None
-        return self._codec.read_status(answer.rows[0])
+        return self._codec.parse_status(answer.rows[0])
 
     def _log_status(self, entry: InstanceEntry, detail: str) -> None:
         self._log.write_request(
--- a/bronzerelay/pooler/sources.py
+++ b/bronzerelay/pooler/sources.py
@@ -52,7 +52,7 @@
     members: int = 1
 
 
-NO_REPORT = Report(False, {})
+EMPTY_REPORT = Report(False, {})
 
 
 class SourceGroup(NamedTuple):
--- a/tests/builders_heartbeats.py
+++ b/tests/builders_heartbeats.py
@@ -10,7 +10,7 @@
 from bronzerelay.pooler.placement import Placement
 from bronzerelay.runtime import Address, Random
 from tests.builders_pooler import (
-    SetClock,
+    ManualClock,
     make_directory,
     make_log,
     make_runtime,
@@ -143,7 +143,7 @@
     """Daemons spread evenly over failure domains."""
 
     def __init__(self, count: int, domains: int = 3, seed: int = 1, **workspace):
-        self.clock = SetClock()
+        self.clock = ManualClock()
         self.chance = Random(seed)
         self.network = Network()
         self.daemons: dict[str, Daemon] = {}
--- a/tests/builders_pooler.py
+++ b/tests/builders_pooler.py
@@ -30,7 +30,7 @@
 WAIT_MS = 8000
 
 
-class SetClock(Clock):
+class ManualClock(Clock):
     """A clock that stands where a test puts it."""
 
     def __init__(self, now_ms: float = 1_000_000.0):
@@ -64,8 +64,8 @@
     return Directory(runtime, make_log(runtime), 4900.0)
 
 
-def make_instance(name: str, leads: bool = False, **fields) -> InstanceEntry:
-    entry = InstanceEntry(name, SERVICE, Address(LOCAL, 1), 3, False, leads, 1)
+def make_instance(name: str, claims_primary: bool = False, **fields) -> InstanceEntry:
+    entry = InstanceEntry(name, SERVICE, Address(LOCAL, 1), 3, False, claims_primary, 1)
     return entry._replace(**fields)
 
 
@@ -90,7 +90,7 @@
     return config._replace(**fields)
 
 
-def make_lead(epoch: int, settled: bool = True, **fields) -> LeadRecord:
+def make_primary_record(epoch: int, settled: bool = True, **fields) -> LeadRecord:
     record = LeadRecord(SERVICE, "orders-1", 2, epoch, "d1", settled, "orders-0", False)
     return record._replace(**fields)
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -21,11 +21,11 @@
 from bronzerelay.pooler.placement import Placement
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
-    SetClock,
+    ManualClock,
     make_directory,
     make_instance,
-    make_lead,
     make_log,
+    make_primary_record,
     make_runtime,
 )
 
@@ -63,7 +63,7 @@
     """One daemon's changes on a clock that moves when anybody waits."""
 
     def __init__(self):
-        self.clock = SetClock()
+        self.clock = ManualClock()
         self.runtime = make_runtime(self.clock)
         self.runtime.sleep_ms = self.sleep_ms
         self.runtime.start = lambda function, *args: function(*args)
@@ -81,7 +81,9 @@
         self.on_sleep = lambda: None
         self.on_promote = lambda: None
         for name in (PRIMARY, FIRST, SECOND):
-            self.directory.set_instance(make_instance(name, leads=name == PRIMARY))
+            self.directory.set_instance(
+                make_instance(name, claims_primary=name == PRIMARY)
+            )
         self.changes = LeadChanges(
             self.runtime,
             "d1",
@@ -126,7 +128,7 @@
     def kill_primary(self):
         entry = self.directory.instances[PRIMARY]
         for _ in range(3):
-            self.placement.note_trouble(entry, self.clock.now_ms())
+            self.placement.record_failure(entry, self.clock.now_ms())
 
     def tend_for(self, duration_ms):
         end_ms = self.clock.now_ms() + duration_ms
@@ -170,7 +172,9 @@
         scene.kill_primary()
         for _ in range(40):
             now_ms = scene.clock.now_ms()
-            scene.placement.positions_of(SERVICE).note(now_ms - 300, Position(1, 3))
+            scene.placement.positions_of(SERVICE).add_sample(
+                now_ms - 300, Position(1, 3)
+            )
             scene.tend_for(100)
         assert scene.orders == []
 
@@ -179,35 +183,35 @@
         # was missed then, it would be replaced as soon as it leads.
         entry = scene.directory.instances[SECOND]
         for _ in range(3):
-            scene.placement.note_trouble(entry, scene.clock.now_ms())
+            scene.placement.record_failure(entry, scene.clock.now_ms())
         scene.clock.sleep_ms(5000)
-        scene.directory.set_lead(make_lead(1, instance=SECOND))
+        scene.directory.set_lead(make_primary_record(1, instance=SECOND))
         positions = scene.placement.positions_of(SERVICE)
-        positions.restart()
+        positions.reset()
         scene.tend_for(DEAD_AFTER_MS - 100)
         assert scene.orders == []
 
     def test_change_whose_holder_writes_its_record_again_is_left_to_it(self, scene):
         # The holder waits for daemons behind a cut. A second one that begins the change
         # anew doesn't know whether the first has ordered a promotion.
-        scene.directory.set_lead(make_lead(1, settled=False, holder="d9"))
+        scene.directory.set_lead(make_primary_record(1, settled=False, holder="d9"))
         for revision in range(1, 12):
             scene.mirror.items[KEY] = Item(KEY, b"", revision)
             scene.tend_for(TAKEOVER_MS / 3)
         assert scene.mirror.writes == []
 
     def test_service_without_a_primary_gets_one(self, scene):
-        scene.directory.set_instance(make_instance(PRIMARY, leads=False))
+        scene.directory.set_instance(make_instance(PRIMARY, claims_primary=False))
         scene.tend_for(LEADERLESS_MS + 2000)
         assert scene.orders == [(SECOND, 1)]
 
     def test_change_of_a_living_holder_is_left_to_it(self, scene):
-        scene.directory.set_lead(make_lead(4, settled=False, holder="d2"))
+        scene.directory.set_lead(make_primary_record(4, settled=False, holder="d2"))
         scene.tend_for(TAKEOVER_MS - 200)
         assert scene.orders == []
 
     def test_stalled_change_is_taken_over_under_a_higher_epoch(self, scene):
-        scene.directory.set_lead(make_lead(4, settled=False, holder="d2"))
+        scene.directory.set_lead(make_primary_record(4, settled=False, holder="d2"))
         scene.tend_for(TAKEOVER_MS + 2000)
         assert [epoch for _, epoch in scene.orders] == [5]
 
@@ -296,7 +300,7 @@
 
         def lose_race(expected, puts, removed):
             scene.mirror.items[KEY] = Item(KEY, b"other", 9)
-            scene.directory.set_lead(make_lead(9, settled=False, holder="d2"))
+            scene.directory.set_lead(make_primary_record(9, settled=False, holder="d2"))
             return real(expected, puts, removed)
 
         scene.mirror.change = lose_race
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -5,18 +5,18 @@
 from bronzerelay.pooler.directory import GONE_AFTER_MS
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
-    SetClock,
+    ManualClock,
     make_config,
     make_directory,
     make_instance,
-    make_lead,
+    make_primary_record,
     make_runtime,
 )
 
 
 @pytest.fixture
 def clock():
-    return SetClock()
+    return ManualClock()
 
 
 @pytest.fixture
@@ -66,36 +66,38 @@
 
 class TestLeads:
     def test_claim_counts_without_a_record(self, directory):
-        directory.set_instance(make_instance("orders-0", leads=True))
+        directory.set_instance(make_instance("orders-0", claims_primary=True))
         assert leader_id(directory) == "orders-0"
 
     def test_record_goes_before_claims(self, directory):
         # The old primary lives on behind a cut and still says that it leads.
-        directory.set_instance(make_instance("orders-0", leads=True))
+        directory.set_instance(make_instance("orders-0", claims_primary=True))
         directory.set_instance(make_instance("orders-1"))
-        directory.set_lead(make_lead(3))
+        directory.set_lead(make_primary_record(3))
         assert leader_id(directory) == "orders-1"
 
     def test_deposed_primary_doesnt_lead_again(self, directory):
-        directory.set_instance(make_instance("orders-0", leads=True))
-        directory.set_lead(make_lead(3))
+        directory.set_instance(make_instance("orders-0", claims_primary=True))
+        directory.set_lead(make_primary_record(3))
         assert leader_id(directory) is None
 
     def test_successor_of_the_recorded_one_leads(self, directory):
-        directory.set_instance(make_instance("orders-7", leads=True))
-        directory.set_lead(make_lead(3))
+        directory.set_instance(make_instance("orders-7", claims_primary=True))
+        directory.set_lead(make_primary_record(3))
         assert leader_id(directory) == "orders-7"
 
     def test_older_record_changes_nothing(self, directory):
-        assert directory.set_lead(make_lead(3))
-        assert not directory.set_lead(make_lead(2, settled=False))
-        assert not directory.set_lead(make_lead(3, settled=False))
+        assert directory.set_lead(make_primary_record(3))
+        assert not directory.set_lead(make_primary_record(2, settled=False))
+        assert not directory.set_lead(make_primary_record(3, settled=False))
         assert directory.leads[SERVICE].settled
 
     def test_primary_that_leaves_is_used_for_a_part_of_its_time(self, directory, clock):
         # It says that it leaves and nobody can replace it. Requests that reach it when
         # its time is over are cut with it.
-        directory.set_instance(make_instance("orders-0", leads=True, leaving=True))
+        directory.set_instance(
+            make_instance("orders-0", claims_primary=True, leaving=True)
+        )
         assert leader_id(directory) == "orders-0"
         clock.sleep_ms(5000)
         assert leader_id(directory) is None
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -4,7 +4,7 @@
 import os
 
 from bronzerelay.pooler.events import QUEUE_LINES, REQUEST_LINES_PER_S, EventLog
-from tests.builders_pooler import SetClock, make_runtime
+from tests.builders_pooler import ManualClock, make_runtime
 
 
 def make_pipe_log(clock):
@@ -18,7 +18,7 @@
 
 class TestEventLog:
     def test_line(self):
-        log, reading = make_pipe_log(SetClock())
+        log, reading = make_pipe_log(ManualClock())
         log.write("front", "Something happened.", request="r1", version=3)
         log.flush()
         (line,) = read_lines(reading)
@@ -28,7 +28,7 @@
     def test_flood_of_requests_is_bounded_and_counted(self):
         # A fault refuses thousands of requests a second. A line for each would take
         # the processor time of the callers that could be served.
-        clock = SetClock()
+        clock = ManualClock()
         log, reading = make_pipe_log(clock)
         for _ in range(1000):
             log.write_request("session", "A caller was refused.")
@@ -41,7 +41,7 @@
         assert len(read_lines(reading)) == 1
 
     def test_reader_that_stalls_holds_nobody_up(self):
-        log, _ = make_pipe_log(SetClock())
+        log, _ = make_pipe_log(ManualClock())
         for _ in range(QUEUE_LINES + 10):
             log.write("front", "Something happened.")
         assert log.dropped == 10
--- a/tests/test_fleetrates.py
+++ b/tests/test_fleetrates.py
@@ -5,7 +5,7 @@
 from bronzerelay.pooler.fleetrates import FIRST_TOKENS, ROUND_MS, FleetRates
 from bronzerelay.pooler.sources import SILENT_MS, Report, Tally
 from bronzerelay.runtime import Random
-from tests.builders_pooler import SetClock, make_runtime, make_workspace
+from tests.builders_pooler import ManualClock, make_runtime, make_workspace
 
 RATE, BURST = 50.0, 50.0
 STEP_MS = 10.0
@@ -17,7 +17,7 @@
     """Daemons' rates on one clock, with reports that a test can hold back."""
 
     def __init__(self, count=DAEMONS, rate=RATE, burst=BURST, patience_ms=0.0):
-        self.clock = SetClock()
+        self.clock = ManualClock()
         # How long callers may wait at a daemon until the rate allows them.
         self.patience_ms = patience_ms
         runtime = make_runtime(self.clock)
@@ -42,7 +42,7 @@
                 since_ms = self._sent_ms.get((sender, receiver))
                 report = self.rates[sender].make_report(since_ms)
                 self._sent_ms[sender, receiver] = now_ms
-                self.rates[receiver].note_report(sender, 1, now_ms, report)
+                self.rates[receiver].apply_report(sender, 1, now_ms, report)
 
     def play_callers(self, duration_ms, rate, retries=0):
         """Return when operations were admitted, and how many callers gave up.
@@ -214,10 +214,10 @@
         fleet = Fleet(2)
         tallies = {"north": Tally(5000, 6000)}
         rates = fleet.rates["d0"]
-        rates.note_report("d1", 1, fleet.clock.now_ms(), Report(True, tallies))
+        rates.apply_report("d1", 1, fleet.clock.now_ms(), Report(True, tallies))
         fleet.clock.sleep_ms(1000)
         tallies = {"north": Tally(5010, 6010)}
-        rates.note_report("d1", 1, fleet.clock.now_ms(), Report(False, tallies))
+        rates.apply_report("d1", 1, fleet.clock.now_ms(), Report(False, tallies))
         fleet.clock.sleep_ms(500)
         admitted = sum(rates.spend("north").admitted for _ in range(200))
         assert 20 < admitted <= BURST
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -11,7 +11,7 @@
     Turn,
 )
 from bronzerelay.pooler.mirror import BEHIND_MS, Item, Mirror, PeerMirror, StoreError
-from tests.builders_pooler import SetClock, make_log, make_runtime, pack_mirror
+from tests.builders_pooler import ManualClock, make_log, make_runtime, pack_mirror
 
 APPLY_WITHIN_MS = 3_000
 FIRST_MS = APPLY_WITHIN_MS * POLL_PART
@@ -41,7 +41,7 @@
     """A poller on a set clock, with a mirror that knows all up to now."""
 
     def __init__(self, turn=FIRST):
-        self.clock = SetClock()
+        self.clock = ManualClock()
         runtime = make_runtime(self.clock)
         runtime.sleep_ms = self.sleep_ms
         self.turn = turn
@@ -170,7 +170,7 @@
 class TestAge:
     def test_mirror_of_a_peer_says_nothing_of_its_age(self):
         # Guards against a restarted daemon that takes a cut-off peer's mirror for new.
-        runtime = make_runtime(SetClock())
+        runtime = make_runtime(ManualClock())
         mirror = Mirror(runtime, None, lambda item: None, make_log(runtime))
         mirror.unpack(pack_mirror(PeerMirror(7, [("a", b"1", 1)])), "peer")
         assert mirror.loaded
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -4,10 +4,10 @@
 
 from bronzerelay.pooler.contacts import Peer
 from bronzerelay.pooler.gossip import NEVER_MS, Beat, Gossip
-from bronzerelay.pooler.sources import NO_REPORT
+from bronzerelay.pooler.sources import EMPTY_REPORT
 from bronzerelay.runtime import Address
 from standins.linegroup import LOCAL
-from tests.builders_pooler import SetClock, make_log, make_runtime
+from tests.builders_pooler import ManualClock, make_log, make_runtime
 
 
 def make_beat(gossip, name, **fields):
@@ -20,7 +20,7 @@
         False,
         7,
         0.0,
-        NO_REPORT,
+        EMPTY_REPORT,
         {},
         {},
         [],
@@ -38,7 +38,7 @@
     """Two daemons on one clock."""
 
     def __init__(self):
-        self.clock = SetClock()
+        self.clock = ManualClock()
         self.taken = []
         # Since when each report was wanted.
         self.reported_since = []
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -7,7 +7,7 @@
 from bronzerelay.pooler.sources import SILENT_MS
 from bronzerelay.runtime import Random
 from tests.builders_heartbeats import HeartbeatFleet
-from tests.builders_pooler import make_lead
+from tests.builders_pooler import make_primary_record
 from tests.test_fleetrates import count_most
 
 LARGE = 30
@@ -20,7 +20,7 @@
         # Taken to have acknowledged it, its statement would run beside the new one.
         fleet = HeartbeatFleet(2)
         first, second = fleet.daemons.values()
-        lead = make_lead(4, settled=False)
+        lead = make_primary_record(4, settled=False)
         first.directory.set_lead(lead)
         first.guard.is_quiet = lambda service: False
         fleet.run(1000)
@@ -32,9 +32,9 @@
     def test_change_that_a_peer_knows_is_told_no_more(self):
         fleet = HeartbeatFleet(2)
         first, second = fleet.daemons.values()
-        first.take_lead(make_lead(4))
+        first.take_lead(make_primary_record(4))
         fleet.run(1500)
-        assert second.directory.leads[make_lead(4).service].epoch == 4
+        assert second.directory.leads[make_primary_record(4).service].epoch == 4
         beat = first.heartbeats.describe()
         view = first.gossip.views["d1"]
         assert first.heartbeats.complete(beat, view, 0.0).leads == []
@@ -48,11 +48,11 @@
         fleet = HeartbeatFleet(count)
         fleet.run(CALM_MS)
         first, *others = fleet.daemons.values()
-        first.take_lead(make_lead(4, settled=False))
+        first.take_lead(make_primary_record(4, settled=False))
         fleet.run(CALM_MS)
-        first.take_lead(make_lead(4))
+        first.take_lead(make_primary_record(4))
         fleet.run(CALM_MS)
-        leads = [one.directory.leads[make_lead(4).service] for one in others]
+        leads = [one.directory.leads[make_primary_record(4).service] for one in others]
         assert all(lead.settled for lead in leads)
 
     def test_heartbeat_without_room_for_all_changes_proves_nothing(self):
@@ -60,9 +60,11 @@
         # Its receiver would have a proof and not know of the other two changes.
         fleet = HeartbeatFleet(2)
         first, second = fleet.daemons.values()
-        first.directory.set_lead(make_lead(1, service="before"))
+        first.directory.set_lead(make_primary_record(1, service="before"))
         for number in range(10):
-            first.directory.set_lead(make_lead(4, settled=False, service=f"s{number}"))
+            first.directory.set_lead(
+                make_primary_record(4, settled=False, service=f"s{number}")
+            )
         second.heartbeats._take_lead = lambda record: None
         fleet.run(2000)
         assert not second.guard.has_proof()
@@ -221,7 +223,7 @@
         fleet.run(CALM_MS)
         chance = Random(seed)
         names = list(fleet.daemons)
-        record = make_lead(4, settled=False, holder=chance.choice(names))
+        record = make_primary_record(4, settled=False, holder=chance.choice(names))
         holder = fleet.daemons[record.holder]
         cut = set()
 
@@ -268,7 +270,7 @@
         fleet.run(CALM_MS)
         relays = {daemon.name for daemon in fleet.list_relays()}
         holder = next(one for one in fleet.daemons.values() if one.name not in relays)
-        record = make_lead(4, settled=False, holder=holder.name)
+        record = make_primary_record(4, settled=False, holder=holder.name)
         holder.take_lead(record)
         fleet.run(1000)
         known = holder.heartbeats.list_acknowledged(record.service, 4)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -6,23 +6,23 @@
 from bronzerelay.pooler.leadership import LATE_MS, LEASE_MS, LeadGuard
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
-    SetClock,
+    ManualClock,
     make_directory,
     make_instance,
-    make_lead,
+    make_primary_record,
     make_runtime,
 )
 
 
 @pytest.fixture
 def clock():
-    return SetClock()
+    return ManualClock()
 
 
 @pytest.fixture
 def directory(clock):
     directory = make_directory(make_runtime(clock))
-    directory.set_instance(make_instance("orders-0", leads=True))
+    directory.set_instance(make_instance("orders-0", claims_primary=True))
     directory.set_instance(make_instance("orders-1"))
     return directory
 
@@ -66,14 +66,14 @@
 
 class TestChanges:
     def test_change_under_way_stops_all_use(self, guard, directory):
-        directory.set_lead(make_lead(1, settled=False))
+        directory.set_lead(make_primary_record(1, settled=False))
         assert guard.enter(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
 
     def test_answer_that_came_during_a_change_isnt_believed(self, guard, directory):
         # A write was sent before the change and its answer comes after it began. The
         # instance that is promoted may lack it.
         assert guard.enter(SERVICE, "orders-0") is None
-        directory.set_lead(make_lead(1, settled=False))
+        directory.set_lead(make_primary_record(1, settled=False))
         assert not guard.still_leads(SERVICE, "orders-0")
 
     def test_quiet_once_all_uses_have_ended(self, guard):
@@ -83,7 +83,7 @@
         assert guard.is_quiet(SERVICE)
 
     def test_settled_change_names_the_new_primary(self, guard, directory):
-        directory.set_lead(make_lead(1))
+        directory.set_lead(make_primary_record(1))
         assert guard.enter(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
         assert guard.enter(SERVICE, "orders-1") is None
 
--- a/tests/test_line_codec.py
+++ b/tests/test_line_codec.py
@@ -10,8 +10,8 @@
     encode_answer,
     encode_query,
     encode_refusal,
+    parse_status,
     read_position,
-    read_status,
 )
 
 from bronzerelay.codes import CODES, NOT_RUN, Code, Refusal
@@ -115,14 +115,14 @@
             read_position("x")
 
     def test_status(self):
-        status = read_status("replica 3 3.1209 0 12 2 17")
-        assert (status.leads, status.term, status.received) == (
+        status = parse_status("replica 3 3.1209 0 12 2 17")
+        assert (status.is_primary, status.term, status.received) == (
             False,
             3,
             Position(3, 1209),
         )
-        assert read_status("replica 3") is None
-        assert read_status("replica x 3.1 0 1 2 3") is None
+        assert parse_status("replica 3") is None
+        assert parse_status("replica x 3.1 0 1 2 3") is None
 
 
 class TestAnswers:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -28,7 +28,7 @@
 
 def lend(group, pool, workspace="north", values=NOTHING):
     instance = group.instances["orders-0"]
-    entry = make_instance("orders-0", leads=True, address=instance.address)
+    entry = make_instance("orders-0", claims_primary=True, address=instance.address)
     deadline_ms = group.runtime.clock.now_ms() + 2000
     link = pool.lend(entry, workspace, values, deadline_ms)
     link.adopt(values, None)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,7 +9,7 @@
 from bronzerelay.pooler.mirror import Item
 from bronzerelay.runtime import Address
 from standins.linegroup import LOCAL
-from tests.builders_pooler import SetClock, make_log, make_runtime
+from tests.builders_pooler import ManualClock, make_log, make_runtime
 
 ADDRESS = Address(LOCAL, 1)
 PEER = Peer(ADDRESS)
@@ -113,7 +113,7 @@
     """Five others are addressed, of which some have been silent."""
 
     def make(self, silent_ms, addressed=OTHERS, behind=(), relayed=()):
-        clock = SetClock()
+        clock = ManualClock()
         runtime = make_runtime(clock)
         gossip = FakeGossip({name: 2 if name in behind else 3 for name in OTHERS})
         for name, view in gossip.views.items():
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -13,7 +13,7 @@
     PeerMirror,
     StoreError,
 )
-from tests.builders_pooler import SetClock, make_log, make_runtime, pack_mirror
+from tests.builders_pooler import ManualClock, make_log, make_runtime, pack_mirror
 
 
 class ScriptedStore:
@@ -101,7 +101,7 @@
         assert store.waits[0][1] < 1000
 
     def test_age_counts_from_when_the_answered_call_was_sent(self):
-        clock = SetClock()
+        clock = ManualClock()
         runtime = make_runtime(clock)
         mirror = Mirror(runtime, None, lambda item: None, make_log(runtime))
         sent_at_ms = clock.now_ms()
@@ -142,7 +142,7 @@
 
 class TestHeldBack:
     def make(self, item):
-        runtime = make_runtime(SetClock())
+        runtime = make_runtime(ManualClock())
         store = HoldingStore(runtime, item)
         mirror = Mirror(runtime, store, lambda item: None, make_log(runtime))
         mirror.wants_proof = lambda: True
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,10 +8,10 @@
 from bronzerelay.pooler.positions import AGE_MARGIN_MS, LogPositions
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
-    SetClock,
+    ManualClock,
     make_directory,
     make_instance,
-    make_lead,
+    make_primary_record,
     make_route,
     make_runtime,
 )
@@ -23,14 +23,14 @@
 
 @pytest.fixture
 def clock():
-    return SetClock()
+    return ManualClock()
 
 
 @pytest.fixture
 def placement(clock):
     runtime = make_runtime(clock)
     directory = make_directory(runtime)
-    directory.set_instance(make_instance(PRIMARY, leads=True))
+    directory.set_instance(make_instance(PRIMARY, claims_primary=True))
     directory.set_instance(make_instance(FIRST))
     directory.set_instance(make_instance(SECOND))
     return Placement(runtime, directory)
@@ -50,13 +50,13 @@
     def test_floor_is_the_oldest_sample_that_is_young_enough(self, placement, clock):
         positions = placement.positions_of(SERVICE)
         for number in range(10):
-            positions.note(clock.now_ms(), Position(1, number))
+            positions.add_sample(clock.now_ms(), Position(1, number))
             clock.sleep_ms(300)
         floor = placement.work_out_need(AGED, None).floor
         assert floor == Position(1, 6)
 
     def test_own_commit_raises_the_floor(self, placement, clock):
-        placement.positions_of(SERVICE).note(clock.now_ms(), Position(1, 3))
+        placement.positions_of(SERVICE).add_sample(clock.now_ms(), Position(1, 3))
         need = placement.work_out_need(OWN, Position(1, 9))
         assert need.floor == Position(1, 9)
 
@@ -64,9 +64,9 @@
         # A commit was acknowledged and lost when its primary crashed, and nothing was
         # committed since. Each later read of its session would wait for it and be
         # refused.
-        placement._directory.set_lead(make_lead(1))
+        placement._directory.set_lead(make_primary_record(1))
         positions = placement.positions_of(SERVICE)
-        positions.note(clock.now_ms(), Position(1, 71))
+        positions.add_sample(clock.now_ms(), Position(1, 71))
         need = placement.work_out_need(OWN, Position(1, 90))
         assert need.floor == Position(1, 71)
         need = placement.work_out_need(OWN, Position(2, 90))
@@ -76,8 +76,8 @@
         # What they name may be in no log any more. Reads of a stated age would be
         # refused as too old until the samples are old enough themselves.
         positions = placement.positions_of(SERVICE)
-        positions.note_own(clock.now_ms(), Position(1, 90))
-        positions.restart()
+        positions.add_own_sample(clock.now_ms(), Position(1, 90))
+        positions.reset()
         assert placement.work_out_need(AGED, None).primary_only
         assert placement.list_samples(0, own=True) == {}
 
@@ -85,7 +85,7 @@
         # The answer was held up for two seconds. What was committed meanwhile isn't in
         # the position that it names.
         positions = LogPositions(make_runtime(clock))
-        positions.note(clock.now_ms() - 2000, Position(1, 3))
+        positions.add_sample(clock.now_ms() - 2000, Position(1, 3))
         assert positions.find_floor(1500) is None
         assert positions.find_floor(2000 + AGE_MARGIN_MS) == Position(1, 3)
 
@@ -98,20 +98,20 @@
 
     def test_replica_that_lacks_the_position_is_left_out(self, placement, clock):
         entry = make_instance(FIRST)
-        placement.note_position(entry, Position(1, 4), clock.now_ms())
+        placement.record_position(entry, Position(1, 4), clock.now_ms())
         assert FIRST not in list_readers(placement, self.need)
         clock.sleep_ms(POSITION_AGE_MS + 1)
         assert FIRST in list_readers(placement, self.need)
 
     def test_slow_replica_comes_later(self, placement):
         for _ in range(20):
-            placement.note_answer(make_instance(PRIMARY), 5)
-            placement.note_answer(make_instance(FIRST), 50)
-            placement.note_answer(make_instance(SECOND), 5)
+            placement.record_answer(make_instance(PRIMARY), 5)
+            placement.record_answer(make_instance(FIRST), 50)
+            placement.record_answer(make_instance(SECOND), 5)
         assert list_readers(placement, self.need)[0] == SECOND
 
     def test_replica_out_of_reach_comes_last(self, placement, clock):
-        placement.note_trouble(make_instance(FIRST), clock.now_ms())
+        placement.record_failure(make_instance(FIRST), clock.now_ms())
         assert list_readers(placement, self.need)[-1] == FIRST
 
     def test_primary_without_a_proof_isnt_read(self, placement):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -11,7 +11,7 @@
 from store_client import StoreClient
 
 from bronzerelay.pooler.changes import Promotion
-from bronzerelay.pooler.httpcalls import CallLostError, HttpClient
+from bronzerelay.pooler.httpcalls import HttpCallError, HttpClient
 from bronzerelay.pooler.mirror import ConflictError, HistoryLostError, StoreError
 from bronzerelay.runtime import Address
 from standins.kvstore import PAGE_ITEMS, KvStore
@@ -115,7 +115,7 @@
 
 class TestHttpClient:
     def test_nobody_listens(self, runtime):
-        with pytest.raises(CallLostError) as caught:
+        with pytest.raises(HttpCallError) as caught:
             HttpClient(runtime, find_address(runtime)).call("GET", "/", b"", 500)
         assert not caught.value.may_have_run
 
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -4,7 +4,7 @@
 
 from bronzerelay.pooler import contacts, session
 from bronzerelay.pooler.changes import CLOSE_ENTRIES
-from bronzerelay.pooler.httpcalls import CallLostError
+from bronzerelay.pooler.httpcalls import HttpCallError
 from bronzerelay.pooler.mirror import GATHER_MS
 from bronzerelay.pooler.placement import POSITION_AGE_MS
 from bronzerelay.pooler.runner import share_slots
@@ -57,7 +57,7 @@
     """Let the store give a daemon no answer any more."""
 
     def refuse(*_):
-        raise CallLostError("cut off", False)
+        raise HttpCallError("cut off", False)
 
     store = daemon._plugins.store
     for client in vars(store).values():
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -75,7 +75,9 @@
         assert (entry.id, entry.slots, entry.born_ms) == ("i-1", 3, 77)
         assert not entry.leaving
         assert decode_instance("i-1", encode(ENTRY, state="draining")).leaving
-        assert decode_instance("i-1", encode(ENTRY, current_role="primary")).claims_lead
+        assert decode_instance(
+            "i-1", encode(ENTRY, current_role="primary")
+        ).claims_primary
 
     @pytest.mark.parametrize(
         "fields",
