--- a/bronzerelay/bundlecommands.py
+++ b/bronzerelay/bundlecommands.py
@@ -8,7 +8,7 @@
 from bronzerelay.bundle import DIGEST_PREFIX, diff_bundles, digest_bundle
 from bronzerelay.bundlefile import write_bundle
 from bronzerelay.codes import Code
-from bronzerelay.following import follow
+from bronzerelay.following import wait_and_report
 from bronzerelay.options import (
     FLEET,
     PLATFORM,
@@ -156,7 +156,7 @@
     result = digest.bind(lambda found: _put_in_force(control, found))
     if result.is_error():
         return show_error(session.output, result.error)
-    return follow(session, fleet, result.ok)
+    return wait_and_report(session, fleet, result.ok)
 
 
 def _put_in_force(control: Rollout, digest: str) -> Result[InForce, RolloutError]:
@@ -260,4 +260,4 @@
     if made.ok.left_out:
         names = ", ".join(made.ok.left_out)
         notes = (*notes, f"withdrawn since, so not brought back: {names}")
-    return follow(session, fleet, result.ok._replace(notes=notes))
+    return wait_and_report(session, fleet, result.ok._replace(notes=notes))
--- a/bronzerelay/daemon.py
+++ b/bronzerelay/daemon.py
@@ -206,7 +206,7 @@
                 name: parts.membership.is_alive(name)
                 for name in parts.membership.member_names()
             },
-            "groups": parts.groups.show(),
+            "groups": parts.groups.describe(),
             "standby_groups": parts.groups.list_standby(),
             "transactions": parts.transactions.count(),
             "isolated": parts.membership.is_isolated(),
@@ -231,7 +231,7 @@
         parts.watch.start()
         self._runtime.start(parts.roster.join)
         self._runtime.start(parts.roster.clean)
-        self._runtime.start(parts.groups.tend)
+        self._runtime.start(parts.groups.maintain)
         self._runtime.start(parts.transactions.sweep)
         self._runtime.start(self._confirm_shares)
         self._runtime.start(self._ask_seeds)
--- a/bronzerelay/following.py
+++ b/bronzerelay/following.py
@@ -15,7 +15,7 @@
 )
 
 
-def follow(
+def wait_and_report(
     session: Session, fleet: Fleet | None, in_force: InForce, done: str = ""
 ) -> int:
     """Wait for every daemon, print the outcome and return the exit code.
--- a/bronzerelay/group.py
+++ b/bronzerelay/group.py
@@ -6,7 +6,7 @@
 
 from bronzerelay.codes import NOT_RUN, UNKNOWN, Code, Refusal, refuse
 from bronzerelay.dialect import EndpointError
-from bronzerelay.instances import NO_PRIMARY_RETRY_MS, GroupParts, Instances
+from bronzerelay.instances import NO_PRIMARY_RETRY_MS, GroupComponents, Instances
 from bronzerelay.reads import Reader
 from bronzerelay.runtime import Runtime
 from bronzerelay.sessions import advance_session
@@ -43,14 +43,18 @@
     """Runs statements on one group: picks instances, retries, settles doubts."""
 
     def __init__(
-        self, runtime: Runtime, parts: GroupParts, metrics: Any, timeout_ms: int
+        self,
+        runtime: Runtime,
+        components: GroupComponents,
+        metrics: Any,
+        timeout_ms: int,
     ):
         self._runtime = runtime
-        self.parts = parts
-        self._watch = parts.watch
+        self.components = components
+        self._watch = components.watch
         self._metrics = metrics
-        self._instances = Instances(runtime, parts, timeout_ms)
-        self._reader = Reader(runtime, parts, self._instances, metrics)
+        self._instances = Instances(runtime, components, timeout_ms)
+        self._reader = Reader(runtime, components, self._instances, metrics)
 
     @property
     def spec(self) -> GroupSpec:
@@ -122,11 +126,11 @@
         """
         if error.kind in ("invalid_statement", "conflict"):
             return refuse(Code.STATEMENT_FAILED, error.message)
-        if self.left_ms(work) <= 0 or not self.parts.budget.allow(tries):
+        if self.left_ms(work) <= 0 or not self.components.budget.allow(tries):
             message = f"The primary didn't take the write: {error.message}."
             return refuse(Code.NO_PRIMARY, message, NO_PRIMARY_RETRY_MS)
         self._metrics.count_retry(f"write_{error.kind}")
-        self.parts.budget.pause(tries, self.left_ms(work))
+        self.components.budget.back_off(tries, self.left_ms(work))
         return None
 
     def acquire_primary(
@@ -138,7 +142,7 @@
     def _finish_write(
         self, work: Work, attempt: int, written: Written
     ) -> Result[StatementAnswer, Refusal]:
-        if self.is_acknowledged(work, written.at):
+        if self.wait_acknowledged(work, written.at):
             session = advance_session(work.session, work.group, written.at)
             answer = self._instances.make_answer(
                 written.served_by, session, written.value
@@ -148,9 +152,9 @@
         # The primary was replaced, or the replicas are too far behind.
         return self.settle(work, attempt)
 
-    def is_acknowledged(self, work: Work, at: Position) -> bool:
+    def wait_acknowledged(self, work: Work, at: Position) -> bool:
         """Return whether a change at this place is safe, waiting until it is."""
-        wait_acknowledged = self.parts.policy.wait_acknowledged
+        wait_acknowledged = self.components.policy.wait_acknowledged
         return wait_acknowledged(self._watch, at, self.left_ms(work))
 
     # Doubts
@@ -207,7 +211,7 @@
     ) -> Result[StatementAnswer, Refusal]:
         """Repeat the write if it may be, or refuse it; no attempt can run any more."""
         repeatable = may_repeat and work.request.get("repeatable")
-        if repeatable and self.parts.budget.allow(attempt):
+        if repeatable and self.components.budget.allow(attempt):
             return self._repeat(work, attempt + 1)
         if "idempotency_key" in work.request:
             message = "The request didn't run, and its idempotency key is given up on."
--- a/bronzerelay/groups.py
+++ b/bronzerelay/groups.py
@@ -5,7 +5,7 @@
 
 from bronzerelay.failover import GroupKeeper, Outcome
 from bronzerelay.group import GroupServer
-from bronzerelay.instances import GroupParts
+from bronzerelay.instances import GroupComponents
 from bronzerelay.membership import Membership
 from bronzerelay.policies import DEFAULT, make_policy
 from bronzerelay.pool import ConnectionPool
@@ -102,7 +102,7 @@
             for name in set(self._served) - set(self._specs):
                 self._stop(name)
             for name, served in self._served.items():
-                self._apply_spec(served.server.parts, self._specs[name])
+                self._apply_spec(served.server.components, self._specs[name])
 
     def find(self, group: str, now_used: bool = True) -> GroupServer | None:
         """Return the server of `group`, made if need be; None if it isn't known."""
@@ -119,7 +119,7 @@
                 served.used_at_ms[0] = now_ms
             return served.server
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """Make the groups that this daemon is to serve, and drop unused ones."""
         served: set[str] = set()
         while self._runtime.sleep_ms(TEND_MS):
@@ -148,10 +148,10 @@
                     self._stop(name)
 
     def _stop(self, name: str) -> None:
-        parts = self._served.pop(name).server.parts
-        parts.keeper.stop()
-        parts.watch.stop()
-        for pool in parts.pools.values():
+        components = self._served.pop(name).server.components
+        components.keeper.stop()
+        components.watch.stop()
+        for pool in components.pools.values():
             pool.close()
 
     def _is_serving(self, group: str) -> bool:
@@ -178,15 +178,18 @@
         policy = make_policy(self._settings.policy)
         slots = SlotQueue(self._runtime, self._settings.queue_limit, policy.name_line)
         budget = RetryBudget(self._runtime)
-        parts = GroupParts(watch, keeper, slots, {}, budget, policy)
-        self._apply_spec(parts, spec)
+        components = GroupComponents(watch, keeper, slots, {}, budget, policy)
+        self._apply_spec(components, spec)
         watch.call_on_change(slots.wake)
-        watch.call_on_silence(lambda silence: self._note_silence(parts, silence))
+        watch.call_on_silence(lambda silence: self._note_silence(components, silence))
         watch.call_on_loss(lambda loss: self._note_loss(spec.name, loss))
         watch.call_on_return(lambda name: self._note_return(spec.name, name))
         self._runtime.start(keeper.run)
         return GroupServer(
-            self._runtime, parts, self._metrics, self._settings.statement_timeout_ms
+            self._runtime,
+            components,
+            self._metrics,
+            self._settings.statement_timeout_ms,
         )
 
     def _open_watched(self, spec: EndpointSpec, kind: str, timeout_ms: float) -> Any:
@@ -194,27 +197,27 @@
             self._runtime, spec, self._settings.name, kind, timeout_ms
         )
 
-    def _apply_spec(self, parts: GroupParts, spec: GroupSpec) -> None:
-        parts.watch.set_spec(spec)
-        parts.slots.set_endpoints({one.name: one.slots for one in spec.endpoints})
+    def _apply_spec(self, components: GroupComponents, spec: GroupSpec) -> None:
+        components.watch.set_spec(spec)
+        components.slots.set_endpoints({one.name: one.slots for one in spec.endpoints})
         wanted = {one.name: one for one in spec.endpoints}
-        for name, pool in list(parts.pools.items()):
+        for name, pool in list(components.pools.items()):
             if name not in wanted or not _fits(pool.spec, wanted[name]):
-                parts.pools.pop(name).close()
+                components.pools.pop(name).close()
         for name, endpoint in wanted.items():
-            if name not in parts.pools:
+            if name not in components.pools:
                 limit = max(1, int(endpoint.connections * CONNECTION_PART))
                 open_link = functools.partial(self._open_watched, endpoint, "work")
-                parts.pools[name] = ConnectionPool(
+                components.pools[name] = ConnectionPool(
                     self._runtime, endpoint, open_link, limit
                 )
 
-    def _note_silence(self, parts: GroupParts, silence: Silence) -> None:
+    def _note_silence(self, components: GroupComponents, silence: Silence) -> None:
         self._metrics.count_event("endpoint_silent")
-        group = parts.watch.spec.name
+        group = components.watch.spec.name
         extra = {"group": group, **silence._asdict()}
         self._log.warning("An endpoint is silent.", extra=extra)
-        pool = parts.pools.get(silence.endpoint)
+        pool = components.pools.get(silence.endpoint)
         if pool is not None:
             pool.drop()
 
@@ -233,7 +236,7 @@
         extra = {**outcome._asdict(), "group": group, "why": why}
         self._log.warning("A promotion was tried.", extra=extra)
 
-    def show(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """Return what is known of each group that this daemon serves now.
 
         One that it keeps from when it stood in for another daemon isn't among them:
@@ -261,7 +264,7 @@
 
 
 def _show_group(server: GroupServer) -> dict[str, Any]:
-    watch = server.parts.watch
+    watch = server.components.watch
     return {
         "primary": watch.primary(),
         "term": watch.highest_term(),
--- a/bronzerelay/instances.py
+++ b/bronzerelay/instances.py
@@ -34,7 +34,7 @@
     return refuse(Code.PEER_UNREACHABLE, "The daemon that asked has hung up.")
 
 
-class GroupParts(NamedTuple):
+class GroupComponents(NamedTuple):
     """What a group is served with."""
 
     watch: GroupWatch
@@ -48,9 +48,9 @@
 class Instances:
     """The instances of one group, as reads and writes call them."""
 
-    def __init__(self, runtime: Runtime, parts: GroupParts, timeout_ms: int):
+    def __init__(self, runtime: Runtime, components: GroupComponents, timeout_ms: int):
         self._runtime = runtime
-        self._parts = parts
+        self._components = components
         self._timeout_ms = timeout_ms
 
     def latest_start_ms(self, work: Work) -> float:
@@ -61,7 +61,7 @@
         under load most of the slots' time goes into such writes.
         """
         left_ms = self.left_ms(work)
-        needed_ms = min(START_MARGIN * self._parts.slots.hold_ms, left_ms / 2)
+        needed_ms = min(START_MARGIN * self._components.slots.hold_ms, left_ms / 2)
         return work.deadline_ms - needed_ms
 
     def left_ms(self, work: Work) -> float:
@@ -80,28 +80,28 @@
         With `foresee` work that would get a slot too late is refused at once.
         """
         while self.left_ms(work) > 0:
-            if self._parts.keeper.holds_writes:
+            if self._components.keeper.holds_writes:
                 self._runtime.sleep_ms(2)
                 continue
-            found = self._parts.watch.wait_primary(self.left_ms(work))
+            found = self._components.watch.wait_primary(self.left_ms(work))
             if found is None:
                 break
             name, term = found
-            slot = self._parts.slots.acquire(
+            slot = self._components.slots.acquire(
                 work.workspace, (name,), self.latest_start_ms(work), foresee
             )
             if not slot.is_ok():
                 return slot
             if not work.is_wanted():
-                self._parts.slots.release(name)
+                self._components.slots.release(name)
                 return refuse_unwanted()
             if (
-                self._parts.watch.primary() == name
-                and not self._parts.keeper.holds_writes
+                self._components.watch.primary() == name
+                and not self._components.keeper.holds_writes
             ):
                 return Ok((name, term))
-            self._parts.slots.release(name)
-        if not self._parts.watch.has_majority():
+            self._components.slots.release(name)
+        if not self._components.watch.has_majority():
             message = f"Most endpoints of {work.group} can't be reached from here."
             return refuse(Code.ENDPOINT_UNREACHABLE, message, NO_PRIMARY_RETRY_MS)
         message = f"{work.group} has no primary just now."
@@ -110,7 +110,7 @@
     def run_at(self, name: str, call: Any) -> Result:
         """Run `call` on a pooled link to `name`, whose slot is held, and free both."""
         try:
-            pool = self._parts.pools.get(name)
+            pool = self._components.pools.get(name)
             if pool is None:
                 error = EndpointError("unreachable", f"{name} is no longer listed")
                 return Error(error)
@@ -119,7 +119,7 @@
                 return lent
             return self._call_link(pool, lent.ok, call)
         finally:
-            self._parts.slots.release(name)
+            self._components.slots.release(name)
 
     def _call_link(self, pool: ConnectionPool, link: EndpointLink, call: Any) -> Result:
         try:
@@ -129,7 +129,7 @@
 
     def make_answer(self, name: str, session: Session, value: Any) -> StatementAnswer:
         """Return the answer of what `name` has run."""
-        state = self._parts.watch.states.get(name)
+        state = self._components.watch.states.get(name)
         return {
             "value": value,
             "session": encode_session(session),
--- a/bronzerelay/kernel.py
+++ b/bronzerelay/kernel.py
@@ -172,7 +172,7 @@
         if group is None:
             message = f"{self._membership.name} doesn't know group {work.group!r}."
             return refuse(Code.GROUP_UNKNOWN, message)
-        group.parts.budget.note_request()
+        group.components.budget.count_request()
         if settle:
             return group.settle(work, 1)
         if "transaction" in work.request:
--- a/bronzerelay/keycommands.py
+++ b/bronzerelay/keycommands.py
@@ -7,7 +7,7 @@
 from bronzerelay import edits
 from bronzerelay.codes import Code, refuse
 from bronzerelay.filecommands import check_entry, edit_file
-from bronzerelay.following import follow
+from bronzerelay.following import wait_and_report
 from bronzerelay.keys import hash_key, make_key
 from bronzerelay.options import (
     FLEET,
@@ -120,4 +120,4 @@
     note = f"take key {key_id} out of your bundle file as well"
     in_force = result.ok._replace(notes=(*result.ok.notes, note))
     done = f"key {key_id} of workspace {workspace} has stopped on every daemon"
-    return follow(session, fleet, in_force, done)
+    return wait_and_report(session, fleet, in_force, done)
--- a/bronzerelay/policies.py
+++ b/bronzerelay/policies.py
@@ -11,7 +11,7 @@
 
 from bronzerelay import registry
 from bronzerelay.holders import list_holders, list_lenders
-from bronzerelay.slots import name_own_line
+from bronzerelay.slots import name_own_queue
 from bronzerelay.types import Position, WorkspaceSpec
 from bronzerelay.watch import GroupWatch
 
@@ -46,7 +46,7 @@
         wait_proven=GroupWatch.wait_proven,
         list_holders=list_holders,
         list_lenders=list_lenders,
-        name_line=name_own_line,
+        name_line=name_own_queue,
     )
 
 
--- a/bronzerelay/pooler/runner.py
+++ b/bronzerelay/pooler/runner.py
@@ -162,7 +162,7 @@
     def _acquire(self, job: Job, readers: list[str]) -> str | Refusal:
         """Return the first of `readers` with a free slot, waiting for one."""
         queue = self._queue_of(job.route.service)
-        return queue.take(job.workspace, tuple(readers), job.slot_by_ms)
+        return queue.acquire_endpoint(job.workspace, tuple(readers), job.slot_by_ms)
 
     def keep_links(self, service: str) -> int:
         """Return how many idle links to one instance this daemon may keep.
--- a/bronzerelay/reads.py
+++ b/bronzerelay/reads.py
@@ -6,7 +6,7 @@
 
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.dialect import EndpointError
-from bronzerelay.instances import GroupParts, Instances, refuse_unwanted
+from bronzerelay.instances import GroupComponents, Instances, refuse_unwanted
 from bronzerelay.runtime import Runtime
 from bronzerelay.sessions import advance_session
 from bronzerelay.types import Position, StatementAnswer
@@ -26,11 +26,15 @@
     """Runs the reads of one group."""
 
     def __init__(
-        self, runtime: Runtime, parts: GroupParts, instances: Instances, metrics: Any
+        self,
+        runtime: Runtime,
+        components: GroupComponents,
+        instances: Instances,
+        metrics: Any,
     ):
         self._runtime = runtime
-        self._parts = parts
-        self._watch = parts.watch
+        self._components = components
+        self._watch = components.watch
         self._instances = instances
         self._metrics = metrics
 
@@ -42,13 +46,13 @@
             result = self._try_read(work, need)
             if result.is_ok() or not isinstance(result.error, EndpointError):
                 return result
-            if self._instances.left_ms(work) <= 0 or not self._parts.budget.allow(
+            if self._instances.left_ms(work) <= 0 or not self._components.budget.allow(
                 attempt
             ):
                 message = f"No endpoint answered the read: {result.error.message}."
                 return refuse(Code.ENDPOINT_UNREACHABLE, message, READ_RETRY_MS)
             self._metrics.count_retry(f"read_{result.error.kind}")
-            self._parts.budget.pause(attempt, self._instances.left_ms(work))
+            self._components.budget.back_off(attempt, self._instances.left_ms(work))
             attempt += 1
 
     def _try_read(self, work: Work, need: Position) -> Result:
@@ -57,7 +61,7 @@
             return chosen
         name = chosen.ok
         if not work.is_wanted():
-            self._parts.slots.release(name)
+            self._components.slots.release(name)
             return refuse_unwanted()
         started_ms = self._runtime.clock.now_ms()
         timeout_ms = self._instances.timeout_ms(work)
@@ -94,7 +98,7 @@
         # session would miss what it has seen.
         in_doubt = by_primary or self._watch.majority() > REPLICA_MAJORITY
         wait_ms = self._proof_wait_ms(work)
-        policy = self._parts.policy
+        policy = self._components.policy
         if in_doubt and not policy.wait_acknowledged(self._watch, seen, wait_ms):
             return self._refuse_unproven(work, f"{name} holds what may be lost")
         since_ms = started_ms - self._max_age_ms(work)
@@ -129,16 +133,18 @@
             return self._pick(free, need, max_age_ms, with_primary=True)
 
         if self._has_fit_replica(need, max_age_ms, short_ms):
-            found = self._parts.slots.acquire(work.workspace, choose_replica, short_ms)
+            found = self._components.slots.acquire(
+                work.workspace, choose_replica, short_ms
+            )
             if found.is_ok() or found.error.code == Code.QUEUE_FULL:
                 return found
         until_ms = self._instances.latest_start_ms(work)
-        return self._parts.slots.acquire(work.workspace, choose_any, until_ms)
+        return self._components.slots.acquire(work.workspace, choose_any, until_ms)
 
     def _has_fit_replica(
         self, need: Position, max_age_ms: float, until_ms: float
     ) -> bool:
-        if not self._parts.policy.list_replicas(list(self._watch.states)):
+        if not self._components.policy.list_replicas(list(self._watch.states)):
             return False
 
         def has_one() -> bool:
@@ -156,7 +162,7 @@
         primary = self._watch.primary()
         leaving = {one.name for one in self._watch.spec.endpoints if one.leaving}
         fit = []
-        for name in self._parts.policy.list_replicas(free):
+        for name in self._components.policy.list_replicas(free):
             state = self._watch.states.get(name)
             if state is None or not state.reachable or name in leaving:
                 continue
--- a/bronzerelay/retries.py
+++ b/bronzerelay/retries.py
@@ -17,7 +17,7 @@
         self._lock = runtime.make_lock()
         self._tokens = RETRY_FLOOR
 
-    def note_request(self) -> None:
+    def count_request(self) -> None:
         """Earn a part of a retry with each request."""
         with self._lock:
             self._tokens = min(self._tokens + RETRY_RATIO, RETRY_FLOOR * 5)
@@ -32,7 +32,7 @@
             self._tokens -= 1.0
         return True
 
-    def pause(self, attempt: int, left_ms: float) -> None:
+    def back_off(self, attempt: int, left_ms: float) -> None:
         """Wait before attempt number `attempt`, with jitter, within `left_ms`."""
         step = min(attempt, len(PAUSE_MS)) - 1
         wait_ms = PAUSE_MS[max(0, step)] * self._runtime.random.uniform(0.5, 1.5)
--- a/bronzerelay/routing.py
+++ b/bronzerelay/routing.py
@@ -81,7 +81,7 @@
         """Run `work` at the daemon that serves its group, or the next that can."""
         if "transaction" in work.request:
             return self._run_in_transaction(work)
-        self._budget.note_request()
+        self._budget.count_request()
         result: Result = refuse(
             Code.PEER_UNREACHABLE, "No daemon serves the group.", NOBODY_RETRY_MS
         )
--- a/bronzerelay/slots.py
+++ b/bronzerelay/slots.py
@@ -42,7 +42,7 @@
 Suits = tuple[str, ...] | Callable[[list[str]], str | None]
 
 
-def name_own_line(workspace: str) -> str:
+def name_own_queue(workspace: str) -> str:
     """Return the name of the line in which a workspace waits: one for each."""
     return workspace
 
@@ -156,7 +156,7 @@
         self,
         runtime: Runtime,
         workspace_limit: int,
-        name_line: Callable[[str], str] = name_own_line,
+        name_line: Callable[[str], str] = name_own_queue,
     ):
         self._runtime = runtime
         self._name_line = name_line
@@ -172,7 +172,7 @@
         self._hold_ms: float = FIRST_HOLD_MS
         self._version = 0
         self._numbers = itertools.count()
-        # Tasks in `take` whose choice may change with what is known of the endpoints.
+        # Tasks in `acquire_endpoint` whose choice may change with the endpoints' state.
         self._choosing = 0
 
     def set_endpoints(self, slots: dict[str, int]) -> None:
@@ -185,13 +185,13 @@
     def acquire(
         self, workspace: str, suits: Suits, deadline_ms: float, foresee: bool = True
     ) -> Result[str, Refusal]:
-        """Return what `take` returns, as a result."""
+        """Return what `acquire_endpoint` returns, as a result."""
         from expression import Error, Ok
 
-        taken = self.take(workspace, suits, deadline_ms, foresee)
+        taken = self.acquire_endpoint(workspace, suits, deadline_ms, foresee)
         return Error(taken) if isinstance(taken, Refusal) else Ok(taken)
 
-    def take(
+    def acquire_endpoint(
         self, workspace: str, suits: Suits, deadline_ms: float, foresee: bool = True
     ) -> str | Refusal:
         """Return the endpoint on which a slot was taken; the caller releases it.
--- a/bronzerelay/transactions.py
+++ b/bronzerelay/transactions.py
@@ -98,7 +98,7 @@
         try:
             return self._begin_at(group, work, name, term)
         finally:
-            group.parts.slots.release(name)
+            group.components.slots.release(name)
 
     def _begin_at(
         self, group: GroupServer, work: Work, name: str, term: int
@@ -108,7 +108,7 @@
         if self._count_at(name) >= limit and not self._make_room(name):
             message = f"{name} has as many open transactions as it may have."
             return refuse(Code.TRANSACTION_LIMIT, message, 500)
-        pool = group.parts.pools[name]
+        pool = group.components.pools[name]
         lent = pool.lend(LEND_TIMEOUT_MS)
         if not lent.is_ok():
             message = f"No connection to {name}: {lent.error.message}."
@@ -212,7 +212,7 @@
                     work.workspace, transaction.term, statement, "", self._timeout_ms
                 )
         finally:
-            transaction.group.parts.slots.release(transaction.endpoint)
+            transaction.group.components.slots.release(transaction.endpoint)
         if not result.is_ok():
             return self._fail(transaction, result.error)
         seen = Position(result.ok.log_term, result.ok.position)
@@ -232,7 +232,7 @@
         )
 
     def _hold_slot(self, transaction: Transaction, work: Work) -> Result:
-        slots = transaction.group.parts.slots
+        slots = transaction.group.components.slots
         return slots.acquire(work.workspace, (transaction.endpoint,), work.deadline_ms)
 
     def _fail(self, transaction: Transaction, error: EndpointError) -> Result:
@@ -257,7 +257,7 @@
                 transaction.term, work.write_id(1), self._timeout_ms
             )
         finally:
-            transaction.group.parts.slots.release(transaction.endpoint)
+            transaction.group.components.slots.release(transaction.endpoint)
         if not result.is_ok() and result.error.kind == "busy":
             return refuse(Code.QUEUE_FULL, "The endpoint has no slot free.", 50)
         self._end(transaction)
@@ -274,7 +274,7 @@
     ) -> Result[StatementAnswer, Refusal]:
         group = transaction.group
         at = Position(transaction.term, answer.position)
-        if not group.is_acknowledged(work, at):
+        if not group.wait_acknowledged(work, at):
             return self._settle_commit(transaction, work)
         session = advance_session(work.session, work.group, at)
         return Ok(
--- a/lab/acks.py
+++ b/lab/acks.py
@@ -58,7 +58,7 @@
     spec = GroupSpec("orders", endpoints, 10_000)
     groups.set_configuration(Configuration(1, "", {"orders": spec}, {}))
     server = groups.find("orders")
-    server.parts.watch.wait_primary(DEADLINE_MS)
+    server.components.watch.wait_primary(DEADLINE_MS)
     return server
 
 
@@ -83,7 +83,7 @@
     servers = start_group(runtime, lag_ms)
     server = serve_group(runtime, servers)
     if not with_majority:
-        server.parts.watch.wait_majority = lambda need, timeout_ms: True
+        server.components.watch.wait_majority = lambda need, timeout_ms: True
     histogram = HdrHistogram(1, HIGHEST_US, 3)
     tasks = [
         runtime.start(time_writes, runtime, server, histogram) for _ in range(WRITERS)
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -44,7 +44,7 @@
     Mutation(
         "a write is acknowledged only when a majority holds it",
         "bronzerelay/group.py",
-        "if self.is_acknowledged(work, written.at):",
+        "if self.wait_acknowledged(work, written.at):",
         "if True:",
         "tests/test_failover.py::test_a_write_that_only_the_primary_holds_is_not_acknowledged",
     ),
@@ -373,7 +373,7 @@
     Mutation(
         "each workspace has a line of its own",
         "bronzerelay/policies.py",
-        "name_line=name_own_line",
+        "name_line=name_own_queue",
         'name_line=lambda workspace: ""',
         "tests/test_promise_fairness.py::test_a_flood_inside_its_own_rate_takes_no_slots_from_the_others",
     ),
--- a/lab/watching.py
+++ b/lab/watching.py
@@ -48,7 +48,7 @@
     before_kb = resident_kb()
     groups = build_groups(runtime)
     groups.set_configuration(build_configuration(size, addresses))
-    runtime.start(groups.tend)
+    runtime.start(groups.maintain)
     runtime.sleep_ms(SETTLE_MS)
     memory_kb = resident_kb() - before_kb
     started_ms, before = own_cpu_ms(), runtime.total_bytes()
--- a/tests/builders_group.py
+++ b/tests/builders_group.py
@@ -55,7 +55,7 @@
 def make_server(runtime: Runtime, group: Group, name: str = "vm-1") -> GroupServer:
     """Return the group's server at daemon `name`, with a primary in sight."""
     server = make_groups(runtime, make_group_spec(group), name).find("orders")
-    assert server.parts.watch.wait_primary(DEADLINE_MS)
+    assert server.components.watch.wait_primary(DEADLINE_MS)
     return server
 
 
--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -86,7 +86,7 @@
     def entries(self, name: str) -> list[dict]:
         return self.admin(name, "record")["entries"]
 
-    def wait_level(self, *names: str) -> None:
+    def wait_equal_logs(self, *names: str) -> None:
         """Wait until the logs of these instances are equal."""
         logs = [self.instance(name).entries for name in names]
         wait_until(self.runtime, lambda: all(log == logs[0] for log in logs))
@@ -104,7 +104,7 @@
 
 
 @contextlib.contextmanager
-def open_script(reply: Callable[[Connection, bytes], None]) -> Iterator:
+def open_scripted_endpoint(reply: Callable[[Connection, bytes], None]) -> Iterator:
     """Give a runtime and a link to a server that answers by `reply`."""
     with open_runtime() as runtime:
         listener = runtime.listen(Address("127.0.0.1", 0))
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -163,7 +163,7 @@
         """Open the links that the tests cut, so that no greeting is struck."""
         for node in self.nodes:
             server = node.groups.find("orders")
-            wait_until(self.runtime, lambda s=server: s.parts.watch.primary())
+            wait_until(self.runtime, lambda s=server: s.components.watch.primary())
         for node in self.nodes:
             assert node.send(statement={"verb": "add", "row": "warm", "amount": 1})
 
@@ -223,7 +223,7 @@
 def hold_all_slots(node: Node) -> Callable[[], None]:
     """Take every slot of the primary at a daemon; return what frees them."""
     server = node.groups.find("orders")
-    primary = server.parts.watch.primary()
+    primary = server.components.watch.primary()
     count = server.spec.endpoints[0].slots
     for _ in range(count):
         work = make_work(node, {"verb": "put", "row": "held", "value": 1})
@@ -231,7 +231,7 @@
 
     def release() -> None:
         for _ in range(count):
-            server.parts.slots.release(primary)
+            server.components.slots.release(primary)
 
     return release
 
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -10,7 +10,7 @@
     make_spec,
     open_group,
     open_runtime,
-    open_script,
+    open_scripted_endpoint,
     put,
     wait_until,
 )
@@ -123,7 +123,7 @@
         connection.send(SOUND)
         sent.append(SOUND)
 
-    with open_script(reply) as (runtime, link):
+    with open_scripted_endpoint(reply) as (runtime, link):
         assert read(link).ok.value == 7
         wait_until(runtime, lambda: sent)
         error = read(link).error
@@ -144,7 +144,7 @@
         answer_id = b'"id":%d' % (len(asked) + 1)
         connection.send(SOUND.replace(b'"id":2', answer_id))
 
-    with open_script(reply) as (runtime, link):
+    with open_scripted_endpoint(reply) as (runtime, link):
         assert read(link).ok.value == 7
         assert read(link).ok.value == 7
         assert len(asked) == 2
@@ -176,7 +176,7 @@
         connection.send(answer)
         connection.close()
 
-    with open_script(reply) as (_, link):
+    with open_scripted_endpoint(reply) as (_, link):
         check_lost(link, read(link))
 
 
@@ -191,7 +191,7 @@
             connection.send(b" ")
             sent.append(1)
 
-    with open_script(reply) as (runtime, link):
+    with open_scripted_endpoint(reply) as (runtime, link):
         check_lost(link, read(link, SHORT_MS))
         assert len(sent) < 250
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -59,7 +59,7 @@
         return dialect.open_link(runtime, spec, caller, kind, timeout_ms)
 
     groups = make_groups(runtime, make_group_spec(group), open_link=open_slowly)
-    watch = groups.find("orders").parts.watch
+    watch = groups.find("orders").components.watch
     wait_until(runtime, watch.primary)
     assert (watch.primary(), watch.highest_term()) == ("orders-1", 1)
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -23,7 +23,7 @@
         )
         wait_until(group.runtime, lambda: group.admin("orders-1", "status")["ok"])
         group.runtime.sleep_ms(50)
-        server.parts.budget.pause = lambda tries, left_ms: pauses.append(tries)
+        server.components.budget.back_off = lambda tries, left_ms: pauses.append(tries)
         pauses = []
         result = server.write(make_work(group.runtime, add("count", 1)))
         assert (result.error.code, result.error.ran) == (Code.NO_PRIMARY, NOT_RUN)
@@ -37,6 +37,6 @@
         # Each daemon makes the group, as one does that stands in for another.
         deployment.warm_up()
         serving, *others = deployment.ranked
-        shown = {node.name: list(node.groups.show()) for node in deployment.nodes}
+        shown = {node.name: list(node.groups.describe()) for node in deployment.nodes}
         assert shown == {serving.name: ["orders"], **{one.name: [] for one in others}}
         assert [one.groups.list_standby() for one in others] == [["orders"]] * 2
--- a/tests/test_nesting.py
+++ b/tests/test_nesting.py
@@ -9,7 +9,7 @@
 from bronzerelay.keyvalue import KeyValueClient, KeyValueSettings
 from bronzerelay.nesting import MAX_NESTING, check_nesting
 from bronzerelay.runtime import Address
-from tests.endpoints import get, open_runtime, open_script
+from tests.endpoints import get, open_runtime, open_scripted_endpoint
 
 TIMEOUT_MS = 2000
 LEVELS = 50_000
@@ -87,7 +87,7 @@
     def reply(connection, line):
         connection.send(b'{"id":2,"ok":true,"value":' + DEEP + b"}\n")
 
-    with open_script(reply) as (runtime, link):
+    with open_scripted_endpoint(reply) as (runtime, link):
         read = runtime.start(link.read, "north", get("tray"), TIMEOUT_MS)
         result = read.result()
         assert result.error.kind == "lost"
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -22,8 +22,8 @@
     """Return the group's server under a policy, with every instance in sight."""
     groups = make_groups(runtime, make_group_spec(group), policy=policy)
     server = groups.find("orders")
-    assert server.parts.watch.wait_primary(DEADLINE_MS)
-    wait_until(runtime, lambda: server.parts.watch.count_reachable() == 3)
+    assert server.components.watch.wait_primary(DEADLINE_MS)
+    wait_until(runtime, lambda: server.components.watch.count_reachable() == 3)
     return server
 
 
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -120,7 +120,7 @@
         deployment.warm_up()
         primary = deployment.find_primary()
         relay = deployment.ranked[0].relays[primary]
-        watch = deployment.ranked[0].groups.find("orders").parts.watch
+        watch = deployment.ranked[0].groups.find("orders").components.watch
         relay.arm(fault, EXCHANGES[exchange][fault not in REQUEST_FAULTS])
         result = send_add(deployment.ranked[0], "row")
         wait_until(deployment.runtime, lambda: relay.struck == 1)
@@ -161,7 +161,7 @@
     with open_deployment(2, service_ms=100) as deployment:
         deployment.warm_up()
         serving, other = deployment.ranked
-        slots = serving.groups.find("orders").parts.slots
+        slots = serving.groups.find("orders").components.slots
         release = hold_all_slots(serving)
         sent = deployment.runtime.start(send_add, other, "row")
         wait_until(deployment.runtime, lambda: slots.count_waiting() == {WORKSPACE: 1})
@@ -213,7 +213,7 @@
         deployment.group.admin(first_primary, "cut", names=replicas)
         serving.cutter.arm(HOLD_REQUEST)
         told = tell(send_add(other, "row", deadline_ms=5000))
-        watch = serving.groups.find("orders").parts.watch
+        watch = serving.groups.find("orders").components.watch
         wait_until(
             deployment.runtime, lambda: watch.primary() not in (None, first_primary)
         )
@@ -322,7 +322,7 @@
         deployment.group.admin(former, "thaw")
         instance = deployment.group.instance(former)
         wait_until(deployment.runtime, lambda: instance.term > 1)
-        deployment.group.wait_level(*NAMES)
+        deployment.group.wait_equal_logs(*NAMES)
         check_told(deployment, tell(result), "row")
 
 
@@ -427,7 +427,7 @@
 def count_tries(node: Node) -> list[str]:
     """Return a list to which each try at an endpoint adds its name."""
     server = node.groups.find("orders")
-    wait_until(node.runtime, server.parts.watch.primary)
+    wait_until(node.runtime, server.components.watch.primary)
     tries = []
     run_at = server._instances.run_at
 
--- a/tests/test_promise_sessions.py
+++ b/tests/test_promise_sessions.py
@@ -36,7 +36,7 @@
 
 def wait_replaced(deployment: Deployment, former: str) -> None:
     """Wait until every daemon knows another primary than `former`."""
-    watches = [node.groups.find("orders").parts.watch for node in deployment.nodes]
+    watches = [node.groups.find("orders").components.watch for node in deployment.nodes]
     wait_until(
         deployment.runtime,
         lambda: all(watch.primary() not in (None, former) for watch in watches),
@@ -131,7 +131,7 @@
         # the readers.
         set_lag(deployment, 5, "orders-3")
         for node in deployment.nodes:
-            slots = node.groups.find("orders").parts.slots
+            slots = node.groups.find("orders").components.slots
             slots.set_endpoints({"orders-1": 3, "orders-2": 3})
         clock = deployment.runtime.clock
         acknowledged = []
@@ -194,7 +194,7 @@
         )
         for name in NAMES[1:]:
             cut_off.relays[name].refuse()
-        watch = other.groups.find("orders").parts.watch
+        watch = other.groups.find("orders").components.watch
         wait_until(
             deployment.runtime, lambda: watch.primary() not in (None, "orders-1")
         )
--- a/tests/test_promise_transactions.py
+++ b/tests/test_promise_transactions.py
@@ -39,7 +39,7 @@
 def check_pools(deployment: Deployment) -> None:
     """Check that no link is kept twice, or inside a transaction."""
     for node in deployment.nodes:
-        for pool in node.groups.find("orders").parts.pools.values():
+        for pool in node.groups.find("orders").components.pools.values():
             assert len(set(map(id, pool._idle))) == len(pool._idle)
             assert not any(link.in_transaction for link in pool._idle)
 
@@ -319,7 +319,7 @@
         token = begin(node)
         assert run(node, token, add("row", 1)).is_ok()
         former = deployment.find_primary()
-        watch = node.groups.find("orders").parts.watch
+        watch = node.groups.find("orders").components.watch
         deployment.group.admin(former, "freeze")
         if when == "before the commit":
             wait_until(
@@ -332,7 +332,7 @@
             deployment.runtime,
             lambda: deployment.group.instance(former).term > 1,
         )
-        deployment.group.wait_level(*NAMES)
+        deployment.group.wait_equal_logs(*NAMES)
         check_told(deployment, told, "row")
         token = begin(node)
         assert run(node, token, add("row", 1)).ok["value"] == 1
@@ -354,7 +354,7 @@
         server = other.groups.find("orders")
         wait_until(
             deployment.runtime,
-            lambda: server.parts.watch.primary() not in (None, "orders-1"),
+            lambda: server.components.watch.primary() not in (None, "orders-1"),
         )
         other.groups.rank_daemons = lambda group: [other.name]
         session = other.send(statement=add("stock", 5)).ok["session"]
@@ -381,7 +381,7 @@
         node = deployment.ranked[0]
         for row in rows:
             assert node.send(statement=put(row, row)).is_ok()
-        deployment.group.wait_level(*NAMES)
+        deployment.group.wait_equal_logs(*NAMES)
 
         def read_all(first: int) -> int:
             count = 0
--- a/tests/test_standin_endpoint.py
+++ b/tests/test_standin_endpoint.py
@@ -85,7 +85,7 @@
     with open_group() as group:
         old = group.link("orders-1")
         write(old, "w1", put("tray", 1))
-        group.wait_level("orders-1", "orders-2", "orders-3")
+        group.wait_equal_logs("orders-1", "orders-2", "orders-3")
         group.admin("orders-1", "cut", names=["orders-2", "orders-3"])
         write(old, "w2", put("tray", 2))
         write(old, "w3", put("gluten", "none"))
@@ -99,7 +99,7 @@
         write(group.link("orders-2"), "w5", put("tray", 5), term=2)
         group.admin("orders-1", "heal", names=["orders-2", "orders-3"])
         group.link("orders-1", "monitor").follow(2, address, T)
-        group.wait_level("orders-1", "orders-2", "orders-3")
+        group.wait_equal_logs("orders-1", "orders-2", "orders-3")
         assert read_value(old, "tray") == 5
         assert read_value(old, "gluten") is None
         assert write(old, "w2", put("tray", 2), 2).error.kind == "not_primary"
@@ -110,7 +110,7 @@
     thaws. Taking them in behind the fence would change the position it reported.
     """
     with open_group() as group:
-        group.wait_level("orders-1", "orders-2")
+        group.wait_equal_logs("orders-1", "orders-2")
         group.admin("orders-2", "freeze")
         write(group.link("orders-1"), "w1", put("tray", 1))
         instance = group.instance("orders-2")
@@ -179,7 +179,7 @@
         assert prompt.settle(1, "w1", T).ok.outcome == "cancelled"
         assert future.result().error.kind == "cancelled"
         assert read_value(prompt, "n") is None
-        group.wait_level("orders-1", "orders-2", "orders-3")
+        group.wait_equal_logs("orders-1", "orders-2", "orders-3")
 
 
 def test_a_connection_too_many_is_turned_away_until_one_ends():
