--- a/bronzerelay/borrowing.py
+++ b/bronzerelay/borrowing.py
@@ -74,7 +74,7 @@
                     self._borrow(account)
                 with account.condition:
                     now_ms = self._runtime.clock.now_ms()
-                    if account.bucket.take(now_ms):
+                    if account.bucket.try_spend(now_ms):
                         return True
                     if now_ms < account.dry_until_ms:
                         break
--- a/bronzerelay/buckets.py
+++ b/bronzerelay/buckets.py
@@ -16,7 +16,7 @@
 SUM_ERROR = 1e-9
 
 
-class Holding(NamedTuple):
+class Share(NamedTuple):
     """A daemon's part of a workspace: tokens a second, and tokens at most."""
 
     rate: float
@@ -51,7 +51,7 @@
     """The tokens of one workspace at one daemon; the owner holds the lock."""
 
     def __init__(self, now_ms: float):
-        self.holding = Holding(0.0, 0.0)
+        self.share = Share(0.0, 0.0)
         self._tokens = 0.0
         self._filled_at_ms = now_ms
         self._lent: list[Lot] = []
@@ -61,14 +61,14 @@
         self._demand = 0.0
         self._demand_at_ms = now_ms
 
-    def set_holding(self, holding: Holding, now_ms: float) -> None:
+    def set_share(self, share: Share, now_ms: float) -> None:
         """Take a new part; tokens above a smaller one are gone at once."""
         self._fill(now_ms)
-        self.holding = holding
-        room = max(0.0, holding.burst - self._sum_lent())
+        self.share = share
+        room = max(0.0, share.burst - self._sum_lent())
         self._tokens = min(self._tokens, room)
 
-    def empty(self, now_ms: float, from_ms: float) -> None:
+    def start_empty(self, now_ms: float, from_ms: float) -> None:
         """Begin with no tokens, and fill up only from `from_ms` on."""
         self._tokens = 0.0
         self._filled_at_ms = max(now_ms, from_ms)
@@ -79,18 +79,18 @@
         elapsed_ms = now_ms - self._filled_at_ms
         if elapsed_ms <= 0:
             return
-        room = self.holding.burst - self._sum_lent()
-        grown = self._tokens + elapsed_ms * self.holding.rate / 1000
+        room = self.share.burst - self._sum_lent()
+        grown = self._tokens + elapsed_ms * self.share.rate / 1000
         self._tokens = max(0.0, min(room, grown))
         self._filled_at_ms = now_ms
 
     def _sum_lent(self) -> float:
         return sum(lot.amount for lot in self._lent)
 
-    def fits_holding(self, now_ms: float) -> bool:
+    def fits_share(self, now_ms: float) -> bool:
         """Return whether the loans that may be spent still are within the burst."""
         self._fill(now_ms)
-        return self._sum_lent() <= self.holding.burst
+        return self._sum_lent() <= self.share.burst
 
     def lent_until_ms(self) -> float:
         """Return when the last loan lapses; one that has lapsed counts too."""
@@ -108,7 +108,7 @@
         kept = max(0.0, 1.0 - (now_ms - self._demand_at_ms) / DEMAND_MEMORY_MS)
         return self._demand * kept * DEMAND_WINDOW_MS / 1000
 
-    def take(self, now_ms: float) -> bool:
+    def try_spend(self, now_ms: float) -> bool:
         """Spend one token, borrowed ones first; return whether there was one."""
         self._fill(now_ms)
         available = self._tokens + sum(lot.amount for lot in self._borrowed)
--- a/bronzerelay/daemon.py
+++ b/bronzerelay/daemon.py
@@ -8,6 +8,7 @@
 from bronzerelay import dialect, front, keyvalue, logs, registry
 from bronzerelay.configuration import ConfigurationStore
 from bronzerelay.env import ADVISED_SWITCH_INTERVAL_S
+from bronzerelay.gossip import Gossip, GossipSettings
 from bronzerelay.groups import Groups, GroupSettings
 from bronzerelay.kernel import Kernel, PeerHandler
 from bronzerelay.membership import Membership, MembershipSettings
@@ -18,7 +19,6 @@
 from bronzerelay.runtime import Runtime, Signal
 from bronzerelay.settings import DaemonSettings, daemon_command
 from bronzerelay.sharekeeper import ShareKeeper
-from bronzerelay.spread import Spreader, SpreadSettings
 from bronzerelay.transactions import Transactions
 
 # Imported for what they register.
@@ -39,7 +39,7 @@
     groups: Groups
     membership: Membership
     store: ConfigurationStore
-    spreader: Spreader
+    gossip: Gossip
     roster: RosterKeeper
     watch: PlatformWatch
     transactions: Transactions
@@ -68,9 +68,9 @@
         )
         store = ConfigurationStore(runtime)
         links = PeerLinks(runtime, settings.peer_secret)
-        spreader = Spreader(
+        gossip = Gossip(
             runtime,
-            SpreadSettings(settings.heartbeat_ms, settings.suspect_ms),
+            GossipSettings(settings.heartbeat_ms, settings.suspect_ms),
             membership,
             store,
             links,
@@ -86,7 +86,7 @@
             store,
             membership,
             links,
-            spreader,
+            gossip,
             groups,
             transactions,
             self.metrics,
@@ -105,10 +105,10 @@
             groups,
             membership,
             store,
-            spreader,
-            self._build_roster(key_value, membership, spreader, server),
+            gossip,
+            self._build_roster(key_value, membership, gossip, server),
             PlatformWatch(
-                runtime, key_value, membership, store, spreader, logs.open_log("watch")
+                runtime, key_value, membership, store, gossip, logs.open_log("watch")
             ),
             transactions,
             server,
@@ -143,7 +143,7 @@
         self,
         key_value: Any,
         membership: Membership,
-        spreader: Spreader,
+        gossip: Gossip,
         server: PeerServer,
     ) -> RosterKeeper:
         entry = {
@@ -152,7 +152,7 @@
             "failure_domain": self._settings.failure_domain,
         }
         log = logs.open_log("roster")
-        return RosterKeeper(self._runtime, entry, key_value, membership, spreader, log)
+        return RosterKeeper(self._runtime, entry, key_value, membership, gossip, log)
 
     def _build_front(self, kernel: Kernel) -> Any:
         make_front = registry.find(registry.FRONT, "http")
@@ -181,7 +181,7 @@
             )
 
         parts.store.call_on_change(apply_configuration)
-        parts.spreader.call_on_roster(parts.share_keeper.apply_roster)
+        parts.gossip.call_on_roster(parts.share_keeper.apply_roster)
 
     def _confirm_shares(self) -> None:
         """Let the shares grow once every member is known to have shrunk."""
@@ -227,7 +227,7 @@
         """Start every part."""
         parts = self.parts
         parts.server.start()
-        parts.spreader.start()
+        parts.gossip.start()
         parts.watch.start()
         self._runtime.start(parts.roster.join)
         self._runtime.start(parts.roster.clean)
@@ -241,7 +241,7 @@
         """Ask the seeds until there is a configuration, from them or the platform."""
         while self.parts.store.version == 0 and not self._runtime.stopping:
             for address in self._settings.seeds:
-                self.parts.spreader.ask_seed(address)
+                self.parts.gossip.fetch_from_seed(address)
             self._runtime.sleep_ms(SEED_RETRY_MS)
 
     def stop(self) -> bool:
--- a/bronzerelay/spread.py
+++ b/bronzerelay/gossip.py
@@ -21,20 +21,20 @@
 _roster_decoder = msgspec.json.Decoder(Roster)
 
 
-class SpreadSettings(NamedTuple):
+class GossipSettings(NamedTuple):
     """How often heartbeats go out, and how long one may take."""
 
     heartbeat_ms: int = 200
     beat_timeout_ms: int = 500
 
 
-class Spreader:
+class Gossip:
     """Exchanges heartbeats with each peer, one task for each."""
 
     def __init__(
         self,
         runtime: Runtime,
-        settings: SpreadSettings,
+        settings: GossipSettings,
         membership: Membership,
         store: ConfigurationStore,
         links: PeerLinks,
@@ -83,17 +83,17 @@
 
     def _beat_peer(self, name: str, address: Address) -> None:
         while self._targets.get(name) == address and not self._runtime.stopping:
-            self.beat(name, address)
+            self.send_heartbeat(name, address)
             spread = self._runtime.random.uniform(0.9, 1.1)
             self._runtime.sleep_ms(self._settings.heartbeat_ms * spread)
 
-    def beat(self, name: str, address: Address) -> bool:
+    def send_heartbeat(self, name: str, address: Address) -> bool:
         """Send one heartbeat and learn from the reply; return whether it came."""
         sent_at_ms = self._runtime.clock.now_ms()
         timeout_ms = self._settings.beat_timeout_ms
         result = self._links.call(address, "beat", self.make_beat(), timeout_ms)
         if not result.is_ok():
-            if result.error.is_away:
+            if result.error.is_unreachable:
                 self._membership.mark_unreachable(name, result.error.message)
             return False
         self._membership.clear_unreachable(name)
@@ -133,7 +133,7 @@
         if result.is_ok() and result.ok.value:
             self.accept_roster(_roster_decoder.decode(result.ok.value))
 
-    def ask_seed(self, address: Address) -> bool:
+    def fetch_from_seed(self, address: Address) -> bool:
         """Learn roster and configuration from a peer that settings name.
 
         A daemon that starts while the platform is out knows nobody else.
--- a/bronzerelay/groups.py
+++ b/bronzerelay/groups.py
@@ -176,7 +176,7 @@
             self._runtime, watch, self._open_watched, is_serving, note_outcome
         )
         policy = make_policy(self._settings.policy)
-        slots = SlotQueue(self._runtime, self._settings.queue_limit, policy.name_line)
+        slots = SlotQueue(self._runtime, self._settings.queue_limit, policy.name_queue)
         budget = RetryBudget(self._runtime)
         parts = GroupParts(watch, keeper, slots, {}, budget, policy)
         self._apply_spec(parts, spec)
--- a/bronzerelay/kernel.py
+++ b/bronzerelay/kernel.py
@@ -10,6 +10,7 @@
 from bronzerelay.buckets import LoanRequest
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.configuration import ConfigurationStore
+from bronzerelay.gossip import Gossip
 from bronzerelay.groups import Groups
 from bronzerelay.membership import Membership
 from bronzerelay.peerlink.ttypes import (
@@ -26,7 +27,6 @@
 from bronzerelay.runtime import Runtime
 from bronzerelay.sessions import Session, decode_session
 from bronzerelay.shares import Shares
-from bronzerelay.spread import Spreader
 from bronzerelay.transactions import Transactions
 from bronzerelay.types import StatementAnswer, StatementRequest
 from bronzerelay.work import Work
@@ -49,7 +49,7 @@
         store: ConfigurationStore,
         membership: Membership,
         links: PeerLinks,
-        spreader: Spreader,
+        gossip: Gossip,
         groups: Groups,
         transactions: Transactions,
         metrics: Any,
@@ -59,7 +59,7 @@
         self._store = store
         self._membership = membership
         self._links = links
-        self._spreader = spreader
+        self._gossip = gossip
         self._groups = groups
         self._transactions = transactions
         self._metrics = metrics
@@ -187,7 +187,7 @@
 
     def beat(self, beat: Any) -> Any:
         """Answer a heartbeat with what this daemon knows."""
-        return self._spreader.make_beat()
+        return self._gossip.make_beat()
 
     def run_statement_call(self, call: StatementCall) -> StatementReply:
         """Run a statement that a peer forwarded; it is never forwarded again."""
@@ -218,11 +218,11 @@
 
     def fetch_config(self, known_version: int) -> Record:
         """Give a peer the configuration in force."""
-        return self._spreader.give_config(known_version)
+        return self._gossip.give_config(known_version)
 
     def fetch_roster(self, known_epoch: int) -> Record:
         """Give a peer the roster."""
-        return self._spreader.give_roster(known_epoch)
+        return self._gossip.give_roster(known_epoch)
 
     def _ask_for_loan(self, lender: str, request: LoanRequest) -> Loan | None:
         address = self._membership.address_of(lender)
--- a/bronzerelay/peers.py
+++ b/bronzerelay/peers.py
@@ -56,14 +56,14 @@
 class PeerError(NamedTuple):
     """Why a call to a peer gave no reply.
 
-    `sent` says whether the call may have reached the peer, and so may have run;
-    `is_away` that the peer can't have been there, as it refused the connection. One
-    that was merely slow to accept it may be there.
+    `may_have_run` says whether the call may have reached the peer and run there.
+    `is_unreachable` says that the peer can't be up, because the connection was refused
+    or failed; a peer that was merely slow to accept it may be up.
     """
 
     message: str
-    sent: bool
-    is_away: bool = False
+    may_have_run: bool
+    is_unreachable: bool = False
 
 
 class ConnectionTransport(TTransportBase):
@@ -287,15 +287,19 @@
             link = self._take(address, timeout_ms)
         except (OSError, EOFError) as error:
             message = f"{address} can't be reached: {error}"
-            is_away = not isinstance(error, TimeoutError)
-            return Error(PeerError(message, sent=False, is_away=is_away))
+            is_unreachable = not isinstance(error, TimeoutError)
+            return Error(
+                PeerError(message, may_have_run=False, is_unreachable=is_unreachable)
+            )
         self._note_used(address, link)
         try:
             link.connection.set_timeout(max(1.0, timeout_ms))
             reply = getattr(link.client, method)(argument)
         except (OSError, EOFError, TException) as error:
             link.connection.close()
-            return Error(PeerError(f"{address} gave no reply: {error}", sent=True))
+            return Error(
+                PeerError(f"{address} gave no reply: {error}", may_have_run=True)
+            )
         finally:
             with self._lock:
                 self._used[address].discard(link.connection)
--- a/bronzerelay/platformwatch.py
+++ b/bronzerelay/platformwatch.py
@@ -12,11 +12,11 @@
 
 from bronzerelay.codes import Code
 from bronzerelay.configuration import ConfigurationStore
+from bronzerelay.gossip import Gossip
 from bronzerelay.membership import Membership
 from bronzerelay.rendezvous import rank
 from bronzerelay.roster import ROSTER_KEY
 from bronzerelay.runtime import Runtime
-from bronzerelay.spread import Spreader
 from bronzerelay.types import Roster
 
 CONFIG_KEY = "config/current"
@@ -42,14 +42,14 @@
         key_value: Any,
         membership: Membership,
         store: ConfigurationStore,
-        spreader: Spreader,
+        gossip: Gossip,
         log: Any,
     ):
         self._runtime = runtime
         self._key_value = key_value
         self._membership = membership
         self._store = store
-        self._spreader = spreader
+        self._gossip = gossip
         self._log = log
 
     def start(self) -> None:
@@ -66,7 +66,7 @@
         self._store.accept(value)
 
     def _accept_roster(self, value: Any) -> None:
-        self._spreader.accept_roster(msgspec.convert(value, Roster))
+        self._gossip.accept_roster(msgspec.convert(value, Roster))
 
     def _find_place(self) -> int:
         """Return how many daemons ask before this one does; 0 for a watcher."""
--- a/bronzerelay/policies.py
+++ b/bronzerelay/policies.py
@@ -25,7 +25,7 @@
     `wait_acknowledged` returns whether a write may be acknowledged, or be shown by a
     primary, and `wait_proven` whether the age of what was read is proved, both given
     how long they may wait; `list_holders` which daemons hold a part of a workspace's
-    rate, and `list_lenders` which of these a daemon borrows from; `name_line` the line
+    rate, and `list_lenders` which of these a daemon borrows from; `name_queue` the line
     in which a workspace's requests wait for a slot.
     """
 
@@ -34,7 +34,7 @@
     wait_proven: Callable[[GroupWatch, Position, float, bool, float], bool]
     list_holders: Callable[[WorkspaceSpec, list[str]], list[str]]
     list_lenders: Callable[[list[str], str], list[str]]
-    name_line: Callable[[str], str]
+    name_queue: Callable[[str], str]
 
 
 @registry.register(registry.POLICY, "fair")
@@ -46,7 +46,7 @@
         wait_proven=GroupWatch.wait_proven,
         list_holders=list_holders,
         list_lenders=list_lenders,
-        name_line=name_own_line,
+        name_queue=name_own_line,
     )
 
 
@@ -63,7 +63,7 @@
         wait_proven=lambda watch, seen, since_ms, by_primary, timeout_ms: True,
         list_holders=lambda workspace, members: members,
         list_lenders=lambda holders, name: [],
-        name_line=lambda workspace: "",
+        name_queue=lambda workspace: "",
     )
 
 
--- a/bronzerelay/roster.py
+++ b/bronzerelay/roster.py
@@ -11,10 +11,10 @@
 from expression import Ok, Result
 
 from bronzerelay.codes import Code
+from bronzerelay.gossip import Gossip
 from bronzerelay.membership import Membership
 from bronzerelay.rendezvous import rank
 from bronzerelay.runtime import Runtime
-from bronzerelay.spread import Spreader
 from bronzerelay.types import MemberEntry, Roster, Stored
 
 ROSTER_KEY = "roster"
@@ -62,14 +62,14 @@
         entry: MemberEntry,
         key_value: Any,
         membership: Membership,
-        spreader: Spreader,
+        gossip: Gossip,
         log: Any,
     ):
         self._runtime = runtime
         self._entry = entry
         self._key_value = key_value
         self._membership = membership
-        self._spreader = spreader
+        self._gossip = gossip
         self._log = log
         self._stopping = False
         self._missing: set[str] = set()
@@ -83,13 +83,13 @@
             stored = self._read()
             if not stored.is_ok():
                 return False
-            self._spreader.accept_roster(stored.ok.value)
+            self._gossip.accept_roster(stored.ok.value)
             edited = edit(stored.ok.value)
             if edited is None:
                 return True
             put = self._key_value.put(ROSTER_KEY, edited, stored.ok.revision)
             if put.is_ok():
-                self._spreader.accept_roster(edited)
+                self._gossip.accept_roster(edited)
                 return True
             if put.error.code != Code.COMPARE_FAILED:
                 return False
--- a/bronzerelay/routing.py
+++ b/bronzerelay/routing.py
@@ -167,9 +167,9 @@
         if reply.is_ok():
             return unpack_reply(reply.ok)
         error = reply.error
-        if error.is_away:
+        if error.is_unreachable:
             self._membership.mark_unreachable(daemon, error.message)
-        ran = UNKNOWN if error.sent else NOT_RUN
+        ran = UNKNOWN if error.may_have_run else NOT_RUN
         return refuse(Code.PEER_UNREACHABLE, f"{error.message}.", STOP_RETRY_MS, ran)
 
     # Transactions
--- a/bronzerelay/shares.py
+++ b/bronzerelay/shares.py
@@ -13,7 +13,7 @@
 from expression import Ok, Result
 
 from bronzerelay.borrowing import DRY_MS, Account, AskPeer, Borrower, Loan
-from bronzerelay.buckets import LOAN_LIFE_MS, Holding, LoanRequest
+from bronzerelay.buckets import LOAN_LIFE_MS, LoanRequest, Share
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.holders import work_out_part
 from bronzerelay.runtime import Runtime
@@ -82,7 +82,7 @@
         account = self._removed.pop(spec.name, None)
         if account is None:
             account = Account(self._runtime, spec)
-            account.bucket.empty(now_ms, self._begin_ms)
+            account.bucket.start_empty(now_ms, self._begin_ms)
         self._accounts[spec.name] = account
         return account
 
@@ -131,7 +131,7 @@
             for members in (self._members, self._confirmed)
         ]
         part = min(parts, default=0.0)
-        account.bucket.set_holding(Holding(part * spec.rate, part * spec.burst), now_ms)
+        account.bucket.set_share(Share(part * spec.rate, part * spec.burst), now_ms)
         holders = list_holders(spec, self._members)
         account.holders = max(1, len(holders))
         account.lenders = self._policy.list_lenders(holders, self._name)
@@ -146,7 +146,7 @@
             accounts = list(self._accounts.values())
         for account in accounts:
             with account.condition:
-                if not account.bucket.fits_holding(now_ms):
+                if not account.bucket.fits_share(now_ms):
                     return False
         return True
 
@@ -169,7 +169,7 @@
         now_ms = self._runtime.clock.now_ms()
         with account.condition:
             account.bucket.note_demand(now_ms)
-            if account.bucket.take(now_ms):
+            if account.bucket.try_spend(now_ms):
                 return Ok(None)
             if now_ms < account.dry_until_ms or not account.lenders:
                 return self._refuse(account)
--- a/lab/accountant.py
+++ b/lab/accountant.py
@@ -4,7 +4,7 @@
 
 from expression import Ok, Result
 
-from bronzerelay.buckets import Bucket, Holding
+from bronzerelay.buckets import Bucket, Share
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.rendezvous import rank
 from bronzerelay.types import WorkspaceSpec
@@ -48,7 +48,7 @@
         if holder != daemon and not self._call(daemon, holder):
             message = f"{holder} keeps the account and doesn't answer."
             return refuse(Code.PEER_UNREACHABLE, message, RETRY_MS)
-        if self._bucket.take(self._now_ms()):
+        if self._bucket.try_spend(self._now_ms()):
             return Ok(None)
         return refuse(Code.RATE_EXCEEDED, "The rate is used up.", RETRY_MS)
 
@@ -56,6 +56,6 @@
         now_ms = self._now_ms()
         self._holder = holder
         self._bucket = Bucket(now_ms)
-        holding = Holding(self._spec.rate, self._spec.burst)
-        self._bucket.set_holding(holding, now_ms)
-        self._bucket.empty(now_ms, now_ms)
+        holding = Share(self._spec.rate, self._spec.burst)
+        self._bucket.set_share(holding, now_ms)
+        self._bucket.start_empty(now_ms, now_ms)
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -310,8 +310,8 @@
     Mutation(
         "a restarted daemon waits for its predecessor's loans",
         "bronzerelay/shares.py",
-        "account.bucket.empty(now_ms, self._begin_ms)",
-        "account.bucket.empty(now_ms, now_ms)",
+        "account.bucket.start_empty(now_ms, self._begin_ms)",
+        "account.bucket.start_empty(now_ms, now_ms)",
         "tests/test_shares.py::test_a_restarted_daemon_waits_until_its_predecessors_loans_have_lapsed",
     ),
     Mutation(
@@ -373,8 +373,8 @@
     Mutation(
         "each workspace has a line of its own",
         "bronzerelay/policies.py",
-        "name_line=name_own_line",
-        'name_line=lambda workspace: ""',
+        "name_queue=name_own_line",
+        'name_queue=lambda workspace: ""',
         "tests/test_promise_fairness.py::test_a_flood_inside_its_own_rate_takes_no_slots_from_the_others",
     ),
     Mutation(
@@ -404,7 +404,7 @@
     ),
     Mutation(
         "a daemon restarted in an outage asks its seeds",
-        "bronzerelay/spread.py",
+        "bronzerelay/gossip.py",
         "        self._fetch_news(address, result.ok)\n"
         "        return True\n"
         "\n"
@@ -508,8 +508,8 @@
     Mutation(
         "a peer that is slow to accept a connection isn't dead",
         "bronzerelay/peers.py",
-        "is_away = not isinstance(error, TimeoutError)",
-        "is_away = True",
+        "is_unreachable = not isinstance(error, TimeoutError)",
+        "is_unreachable = True",
         "tests/test_peers.py::test_a_peer_that_is_slow_to_answer_isnt_away",
     ),
     Mutation(
--- a/lab/rates.py
+++ b/lab/rates.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from bronzerelay.buckets import Bucket, Holding
+from bronzerelay.buckets import Bucket, Share
 from bronzerelay.holders import list_holders
 from bronzerelay.runtime import Random
 from bronzerelay.types import WorkspaceSpec
@@ -99,13 +99,13 @@
 def open_even_split(fleet: Fleet, spec: WorkspaceSpec, daemons: list[str]) -> Callable:
     """Return the way to spend when each daemon has its part and nothing else."""
     start_ms = fleet.clock.now_ms()
-    holding = Holding(spec.rate / len(daemons), spec.burst / len(daemons))
+    holding = Share(spec.rate / len(daemons), spec.burst / len(daemons))
     buckets = {name: Bucket(start_ms) for name in daemons}
     for bucket in buckets.values():
-        bucket.set_holding(holding, start_ms)
+        bucket.set_share(holding, start_ms)
 
     def spend(daemon: str) -> bool:
-        taken = buckets[daemon].take(fleet.clock.now_ms())
+        taken = buckets[daemon].try_spend(fleet.clock.now_ms())
         if taken:
             fleet.spent_ms.append(fleet.clock.now_ms())
         return taken
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -236,7 +236,7 @@
     return release
 
 
-def settle_down(deployment: Deployment) -> None:
+def wait_until_idle(deployment: Deployment) -> None:
     """Wait until no daemon runs a request of a peer."""
     servers = [node.server for node in deployment.nodes]
     wait_until(
@@ -244,12 +244,12 @@
     )
 
 
-def tell(result) -> str:
+def outcome_of(result) -> str:
     """Return what a caller reads about its request."""
     return RAN if result.is_ok() else result.error.ran
 
 
-def check_told(deployment: Deployment, told: str, row: str) -> None:
+def check_outcome(deployment: Deployment, told: str, row: str) -> None:
     """Check what a caller was told against the effects at the endpoint."""
     effects = deployment.count_writes(row)
     assert effects <= 1
--- a/tests/test_spread.py
+++ b/tests/test_daemon_gossip.py
@@ -6,12 +6,12 @@
 import pytest
 from expression import Error, Ok
 
+from bronzerelay.gossip import PAUSE_MS, Gossip, GossipSettings
 from bronzerelay.logs import open_log
 from bronzerelay.membership import Membership, MembershipSettings, View
 from bronzerelay.peerlink.ttypes import Beat, Record
 from bronzerelay.peers import PeerError
 from bronzerelay.runtime import Address
-from bronzerelay.spread import PAUSE_MS, Spreader, SpreadSettings
 from tests.endpoints import open_runtime, wait_until
 
 PEER = Address("127.0.0.1", 1)
@@ -74,9 +74,9 @@
         store = FakeStore()
         membership = FakeMembership(store)
         links = FakeLinks(gives)
-        settings = SpreadSettings()
-        spreader = Spreader(runtime, settings, membership, store, links, None)
-        assert spreader.beat("vm-2", PEER)
+        settings = GossipSettings()
+        gossip = Gossip(runtime, settings, membership, store, links, None)
+        assert gossip.send_heartbeat("vm-2", PEER)
     assert membership.merged_at == merged_at
 
 
@@ -91,17 +91,19 @@
         self.marked.append(name)
 
 
-@pytest.mark.parametrize(("is_away", "marked"), [(False, []), (True, ["vm-2"])])
-def test_a_heartbeat_that_times_out_marks_nobody(is_away, marked):
+@pytest.mark.parametrize(("is_unreachable", "marked"), [(False, []), (True, ["vm-2"])])
+def test_a_heartbeat_that_times_out_marks_nobody(is_unreachable, marked):
     """Guards against a peer that counts as dead for one slow handshake."""
     membership = MarkingMembership()
     with open_runtime(10) as runtime:
         links = FakeLinks(gives=False)
-        error = PeerError("vm-2 can't be reached", sent=False, is_away=is_away)
+        error = PeerError(
+            "vm-2 can't be reached", may_have_run=False, is_unreachable=is_unreachable
+        )
         links.call = lambda *_: Error(error)
-        settings = SpreadSettings()
-        spreader = Spreader(runtime, settings, membership, FakeStore(), links, None)
-        assert not spreader.beat("vm-2", PEER)
+        settings = GossipSettings()
+        gossip = Gossip(runtime, settings, membership, FakeStore(), links, None)
+        assert not gossip.send_heartbeat("vm-2", PEER)
     assert membership.marked == marked
 
 
@@ -135,12 +137,12 @@
     with open_runtime(10) as runtime:
         membership = Membership(runtime, MembershipSettings("vm-1"))
         log = open_log("spread", stream)
-        settings = SpreadSettings()
-        spreader = Spreader(runtime, settings, membership, None, None, log)
+        settings = GossipSettings()
+        gossip = Gossip(runtime, settings, membership, None, None, log)
         now_ms = runtime.clock.now_ms()
-        spreader._note_pause(now_ms)
+        gossip._note_pause(now_ms)
         assert not stream.getvalue()
-        spreader._note_pause(now_ms - 2 * PAUSE_MS)
+        gossip._note_pause(now_ms - 2 * PAUSE_MS)
     assert json.loads(stream.getvalue())["paused_ms"] >= 2 * PAUSE_MS
 
 
@@ -151,9 +153,9 @@
         links = FakeLinks(gives=True)
         links.drop = lambda address: 7
         log = open_log("spread", stream)
-        settings = SpreadSettings()
-        spreader = Spreader(runtime, settings, SilentMembership(), None, links, log)
-        spreader.start()
+        settings = GossipSettings()
+        gossip = Gossip(runtime, settings, SilentMembership(), None, links, log)
+        gossip.start()
         wait_until(runtime, lambda: "silent" in stream.getvalue())
     line = json.loads(stream.getvalue().splitlines()[-1])
     assert (line["peer"], line["unreachable"], line["calls_cut"]) == (
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -90,7 +90,7 @@
     """
     result = peer.call("another secret")
     assert not result.is_ok()
-    assert not result.error.sent
+    assert not result.error.may_have_run
     assert peer.handler.calls == 0
     wait_until(peer.runtime, lambda: peer.events == ["peer_rejected"])
 
@@ -113,7 +113,7 @@
         listener.address, "lend", CALL, TIMEOUT_MS
     )
     assert not result.is_ok()
-    assert not result.error.sent
+    assert not result.error.may_have_run
 
 
 def test_a_peer_that_is_gone_counts_as_not_asked(peer):
@@ -130,7 +130,7 @@
         lambda: not links.call(peer.server.address, "lend", CALL, TIMEOUT_MS).is_ok(),
     )
     result = links.call(peer.server.address, "lend", CALL, TIMEOUT_MS)
-    assert not result.error.sent
+    assert not result.error.may_have_run
 
 
 def test_a_peer_that_is_slow_to_answer_isnt_away():
@@ -141,8 +141,8 @@
         slow = links.call(listener.address, "lend", CALL, 50).error
         listener.close()
         gone = links.call(listener.address, "lend", CALL, 50).error
-    assert (slow.sent, slow.is_away) == (False, False)
-    assert (gone.sent, gone.is_away) == (False, True)
+    assert (slow.may_have_run, slow.is_unreachable) == (False, False)
+    assert (gone.may_have_run, gone.is_unreachable) == (False, True)
 
 
 def test_a_call_to_a_dropped_peer_ends_at_once(peer):
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -70,7 +70,7 @@
     shares.set_workspaces([spec])
     shares.confirm_workspaces()
     account = shares._accounts["shop"]
-    account.bucket._tokens = account.bucket.holding.burst
+    account.bucket._tokens = account.bucket.share.burst
     results = [shares.spend("shop") for _ in range(3)]
     assert sum(result.is_ok() for result in results) == admitted
     assert bool(asked) == (policy == "fair")
@@ -80,7 +80,7 @@
     ("policy", "order"), [("fair", ["a", "b", "a"]), ("naive", ["a", "a", "b"])]
 )
 def test_only_the_fair_policy_serves_workspaces_by_turns(runtime, policy, order):
-    queue = SlotQueue(runtime, 100, make_policy(policy).name_line)
+    queue = SlotQueue(runtime, 100, make_policy(policy).name_queue)
     queue.set_endpoints({"x": 1})
     end_ms = runtime.clock.now_ms() + DEADLINE_MS
     served = []
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -21,12 +21,12 @@
 from tests.nodes import (
     WORKSPACE,
     Node,
-    check_told,
+    check_outcome,
     hold_all_slots,
     make_work,
     open_deployment,
-    settle_down,
-    tell,
+    outcome_of,
+    wait_until_idle,
 )
 
 FAULTS = (
@@ -62,8 +62,8 @@
             deployment.group.admin(primary, "drop_answers", **fault)
             result = send_add(deployment.ranked[0], row, repeatable=repeatable)
             lost = before and not repeatable
-            assert tell(result) == (NOT_RUN if lost else RAN)
-            check_told(deployment, tell(result), row)
+            assert outcome_of(result) == (NOT_RUN if lost else RAN)
+            check_outcome(deployment, outcome_of(result), row)
 
 
 @pytest.mark.parametrize("before", [False, True])
@@ -81,8 +81,8 @@
             fault = {"ops": ops, "count": 1, "before": first}
             deployment.group.admin(primary, "drop_answers", **fault)
         result = send_add(deployment.ranked[0], "row", repeatable=repeatable)
-        assert tell(result) != UNKNOWN
-        check_told(deployment, tell(result), "row")
+        assert outcome_of(result) != UNKNOWN
+        check_outcome(deployment, outcome_of(result), "row")
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -101,8 +101,8 @@
         assert relay.struck == 1
         relay.release()
         assert send_add(deployment.ranked[0], "other").is_ok()
-        assert tell(result) != UNKNOWN
-        check_told(deployment, tell(result), "row")
+        assert outcome_of(result) != UNKNOWN
+        check_outcome(deployment, outcome_of(result), "row")
 
 
 # What requests and answers of an exchange with an endpoint hold, and no others.
@@ -128,8 +128,8 @@
         assert send_add(deployment.ranked[0], "other").is_ok()
         deployment.runtime.sleep_ms(2 * ANSWER_MARGIN_MS)
         assert (deployment.find_primary(), watch.highest_term()) == (primary, 1)
-        assert tell(result) != UNKNOWN
-        check_told(deployment, tell(result), "row")
+        assert outcome_of(result) != UNKNOWN
+        check_outcome(deployment, outcome_of(result), "row")
 
 
 # Answers lost between daemons
@@ -149,11 +149,11 @@
         cutter.arm(fault)
         result = send_add(deployment.ranked[1], "row", repeatable=repeatable)
         assert cutter.struck == 1
-        assert tell(result) != UNKNOWN
-        settle_down(deployment)
+        assert outcome_of(result) != UNKNOWN
+        wait_until_idle(deployment)
         sent = len(deployment.list_executions("write")) - count
         assert sent <= 1 + repeatable
-        check_told(deployment, tell(result), "row")
+        check_outcome(deployment, outcome_of(result), "row")
 
 
 def test_queued_work_of_a_peer_that_hung_up_takes_no_slot():
@@ -166,10 +166,10 @@
         sent = deployment.runtime.start(send_add, other, "row")
         wait_until(deployment.runtime, lambda: slots.count_waiting() == {WORKSPACE: 1})
         other.links.drop(serving.cutter.address)
-        told = tell(sent.result())
+        told = outcome_of(sent.result())
         release()
-        settle_down(deployment)
-        check_told(deployment, told, "row")
+        wait_until_idle(deployment)
+        check_outcome(deployment, told, "row")
         tried = [one.op for one in deployment.list_executions("write", "settle")]
         assert tried.count("write") == len(deployment.nodes)
         assert tried.count("settle") == 1
@@ -188,7 +188,7 @@
         serving = deployment.ranked[0]
         serving.cutter.arm(HOLD_REQUEST)
         result = send_add(deployment.ranked[1], "row", key=key, repeatable=repeatable)
-        told = tell(result)
+        told = outcome_of(result)
         assert told == (RAN if repeatable else NOT_RUN)
         count = len(deployment.list_executions("write"))
         serving.cutter.release()
@@ -196,8 +196,8 @@
             deployment.runtime,
             lambda: len(deployment.list_executions("write")) > count,
         )
-        settle_down(deployment)
-        check_told(deployment, told, "row")
+        wait_until_idle(deployment)
+        check_outcome(deployment, told, "row")
 
 
 def test_giving_up_needs_a_majority():
@@ -212,7 +212,7 @@
         first_primary, *replicas = NAMES
         deployment.group.admin(first_primary, "cut", names=replicas)
         serving.cutter.arm(HOLD_REQUEST)
-        told = tell(send_add(other, "row", deadline_ms=5000))
+        told = outcome_of(send_add(other, "row", deadline_ms=5000))
         watch = serving.groups.find("orders").parts.watch
         wait_until(
             deployment.runtime, lambda: watch.primary() not in (None, first_primary)
@@ -223,9 +223,9 @@
             deployment.runtime,
             lambda: len(deployment.list_executions("write")) > count,
         )
-        settle_down(deployment)
+        wait_until_idle(deployment)
         assert told == NOT_RUN
-        check_told(deployment, told, "row")
+        check_outcome(deployment, told, "row")
 
 
 def test_late_finder_repeats_nothing():
@@ -238,11 +238,11 @@
         deployment.warm_up()
         first, late = deployment.ranked
         work = make_work(first, add("row", 1), "request-1")
-        told = tell(first.kernel.run_here(work, settle=True))
+        told = outcome_of(first.kernel.run_here(work, settle=True))
         assert told == NOT_RUN
         again = make_work(late, add("row", 1), "request-1", repeatable=True)
-        assert tell(late.groups.find("orders").settle(again, 1)) == NOT_RUN
-        check_told(deployment, told, "row")
+        assert outcome_of(late.groups.find("orders").settle(again, 1)) == NOT_RUN
+        check_outcome(deployment, told, "row")
 
 
 @pytest.mark.parametrize("first_repeats", [False, True])
@@ -263,7 +263,7 @@
                 )
                 for node in deployment.nodes
             ]
-            told = [tell(future.result()) for future in futures]
+            told = [outcome_of(future.result()) for future in futures]
             effects = deployment.count_writes(row)
             assert effects <= 1
             # Whoever said "not run" had seen each number given up that was tried.
@@ -286,9 +286,9 @@
         )
         serving.cutter.arm(CUT_REPLY)
         result = send_add(other, "row")
-        settle_down(deployment)
+        wait_until_idle(deployment)
         assert deployment.count_writes("row") == 1
-        assert tell(result) != NOT_RUN
+        assert outcome_of(result) != NOT_RUN
 
 
 def test_lost_read_has_not_run():
@@ -302,7 +302,10 @@
         other.groups.rank_daemons = lambda group: [serving.name]
         serving.cutter.arm(CUT_REPLY)
         result = other.send(statement=get("row"))
-        assert (tell(result), result.error.code) == (NOT_RUN, Code.PEER_UNREACHABLE)
+        assert (outcome_of(result), result.error.code) == (
+            NOT_RUN,
+            Code.PEER_UNREACHABLE,
+        )
 
 
 @pytest.mark.parametrize("repeatable", [False, True])
@@ -318,12 +321,12 @@
         deployment.group.admin(former, "freeze")
         node = deployment.nodes[0]
         result = send_add(node, "row", repeatable=repeatable, deadline_ms=5000)
-        assert tell(result) == (RAN if repeatable else NOT_RUN)
+        assert outcome_of(result) == (RAN if repeatable else NOT_RUN)
         deployment.group.admin(former, "thaw")
         instance = deployment.group.instance(former)
         wait_until(deployment.runtime, lambda: instance.term > 1)
         deployment.group.wait_level(*NAMES)
-        check_told(deployment, tell(result), "row")
+        check_outcome(deployment, outcome_of(result), "row")
 
 
 # The same change sent several times
@@ -348,7 +351,7 @@
                 )
                 for node in deployment.nodes
             ]
-            told = [tell(future.result()) for future in futures]
+            told = [outcome_of(future.result()) for future in futures]
             effects = deployment.count_writes(row)
             assert effects <= 1
             assert UNKNOWN not in told
@@ -366,12 +369,12 @@
         fault = {"ops": ["write"], "count": 1, "before": True}
         deployment.group.admin(deployment.find_primary(), "drop_answers", **fault)
         first, second = deployment.nodes
-        assert tell(send_add(first, "row", key="refund-1")) == NOT_RUN
+        assert outcome_of(send_add(first, "row", key="refund-1")) == NOT_RUN
         again = send_add(second, "row", key="refund-1")
         assert again.error.code == Code.IDEMPOTENCY_CONFLICT
         assert deployment.count_writes("row") == 0
         assert send_add(second, "row", key="refund-2").is_ok()
-        check_told(deployment, RAN, "row")
+        check_outcome(deployment, RAN, "row")
 
 
 def test_key_answers_the_recorded_result():
@@ -382,7 +385,7 @@
         assert send_add(first, "row", key="refund-1").ok["value"] == 1
         again = send_add(second, "row", key="refund-1").ok
         assert (again["value"], again["duplicate"]) == (1, True)
-        check_told(deployment, RAN, "row")
+        check_outcome(deployment, RAN, "row")
 
 
 # Retries
@@ -399,7 +402,10 @@
         fault = {"ops": ["write"], "count": 100, "before": False}
         deployment.group.admin(deployment.find_primary(), "drop_answers", **fault)
         for number in range(20):
-            assert tell(send_add(deployment.nodes[number % 2], f"row-{number}")) == RAN
+            assert (
+                outcome_of(send_add(deployment.nodes[number % 2], f"row-{number}"))
+                == RAN
+            )
         assert len(deployment.list_executions("write")) == count + 20
 
 
@@ -443,7 +449,7 @@
     """Send reads and writes by turns, none of which can run."""
     for number in range(count):
         result = node.send(statement=get("row") if number % 2 else add("row", 1))
-        assert tell(result) == NOT_RUN
+        assert outcome_of(result) == NOT_RUN
         assert result.error.retry_after_ms > 0
 
 
--- a/tests/test_promise_transactions.py
+++ b/tests/test_promise_transactions.py
@@ -19,7 +19,14 @@
 from standins.schedule import LoadSettings
 from tests.breakages import LAYOUT, find_serving, run_and_break
 from tests.endpoints import NAMES, add, get, open_runtime, put, wait_until
-from tests.nodes import Deployment, Node, check_told, open_deployment, settle_down, tell
+from tests.nodes import (
+    Deployment,
+    Node,
+    check_outcome,
+    open_deployment,
+    outcome_of,
+    wait_until_idle,
+)
 
 FAULTS = (CUT_REQUEST, CUT_REPLY, CUT_HALF_REPLY, REPEAT_REPLY, HOLD_REQUEST)
 
@@ -136,7 +143,7 @@
         if second != "commit":
             assert late.error.code == Code.TRANSACTION_UNKNOWN
         check_pools(deployment)
-        check_told(deployment, RAN, "row")
+        check_outcome(deployment, RAN, "row")
 
 
 def test_idle_transaction_ends_once():
@@ -196,9 +203,9 @@
         assert run(node, token, add("row", 1)).is_ok()
         fault = {"ops": ["commit"], "count": 1, "before": before}
         deployment.group.admin(deployment.find_primary(), "drop_answers", **fault)
-        told = tell(commit(node, token, key=key))
+        told = outcome_of(commit(node, token, key=key))
         assert told == (NOT_RUN if before else RAN)
-        check_told(deployment, told, "row")
+        check_outcome(deployment, told, "row")
         check_pools(deployment)
 
 
@@ -216,7 +223,7 @@
         token = begin(other)
         assert run(other, token, add("row", 1)).is_ok()
         holder.cutter.arm(fault)
-        told = tell(commit(other, token, key=key))
+        told = outcome_of(commit(other, token, key=key))
         assert holder.cutter.struck == 1
         assert told != UNKNOWN
         count = len(deployment.list_executions("commit"))
@@ -226,8 +233,8 @@
                 deployment.runtime,
                 lambda: len(deployment.list_executions("commit")) > count,
             )
-        settle_down(deployment)
-        check_told(deployment, told, "row")
+        wait_until_idle(deployment)
+        check_outcome(deployment, told, "row")
 
 
 @pytest.mark.parametrize("key", ["", "sale-1"])
@@ -242,8 +249,8 @@
         token = begin(one)
         assert run(one, token, add("row", 1)).is_ok()
         assert commit(one, token, key=key).is_ok()
-        assert tell(commit(two, token, key=key)) == RAN
-        check_told(deployment, RAN, "row")
+        assert outcome_of(commit(two, token, key=key)) == RAN
+        check_outcome(deployment, RAN, "row")
 
 
 def test_commit_of_no_transaction():
@@ -255,8 +262,8 @@
         assert run(one, token, add("row", 1)).is_ok()
         assert two.send("rollback", transaction=token).is_ok()
         for name in (token, f"{one.name}~00", "vm-9~00", "nonsense"):
-            assert tell(commit(two, name)) == NOT_RUN
-        check_told(deployment, NOT_RUN, "row")
+            assert outcome_of(commit(two, name)) == NOT_RUN
+        check_outcome(deployment, NOT_RUN, "row")
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -275,14 +282,14 @@
         result = run(other, token, add("row", 1))
         assert holder.cutter.struck == 1
         holder.cutter.release()
-        told = tell(commit(other, token))
+        told = outcome_of(commit(other, token))
         if result.is_ok():
             assert told == RAN
         else:
             assert result.error.code == Code.TRANSACTION_LOST
             assert told == NOT_RUN
-        settle_down(deployment)
-        check_told(deployment, told, "row")
+        wait_until_idle(deployment)
+        check_outcome(deployment, told, "row")
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -298,9 +305,9 @@
         result = run(holder, token, add("row", 1))
         assert relay.struck == 1
         relay.release()
-        told = tell(commit(holder, token))
+        told = outcome_of(commit(holder, token))
         assert told == (RAN if result.is_ok() else NOT_RUN)
-        check_told(deployment, told, "row")
+        check_outcome(deployment, told, "row")
         check_pools(deployment)
 
 
@@ -325,7 +332,7 @@
             wait_until(
                 deployment.runtime, lambda: watch.primary() not in (None, former)
             )
-        told = tell(commit(node, token, deadline_ms=5000))
+        told = outcome_of(commit(node, token, deadline_ms=5000))
         assert told == NOT_RUN
         deployment.group.admin(former, "thaw")
         wait_until(
@@ -333,7 +340,7 @@
             lambda: deployment.group.instance(former).term > 1,
         )
         deployment.group.wait_level(*NAMES)
-        check_told(deployment, told, "row")
+        check_outcome(deployment, told, "row")
         token = begin(node)
         assert run(node, token, add("row", 1)).ok["value"] == 1
         assert commit(node, token).is_ok()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -20,7 +20,7 @@
 
 
 class Relay:
-    """Takes the place of the spreader: it only hands rosters to the membership."""
+    """Takes the place of the gossip: it only hands rosters to the membership."""
 
     def __init__(self, membership):
         self.accept_roster = membership.accept_roster
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bronzerelay.buckets import LOAN_LIFE_MS, Bucket, Holding
+from bronzerelay.buckets import LOAN_LIFE_MS, Bucket, Share
 from bronzerelay.codes import Code
 from bronzerelay.holders import list_holders
 from tests.fleet import (
@@ -154,7 +154,7 @@
     """
     clock = Clock()
     bucket = Bucket(clock.now_ms())
-    bucket.set_holding(Holding(10.0, 10.0), clock.now_ms())
+    bucket.set_share(Share(10.0, 10.0), clock.now_ms())
     clock.time_ms += 1000
     assert bucket.lend(ask_for(4.0), clock.now_ms())[0] == 4.0
     clock.time_ms += LOAN_LIFE_MS - 1
@@ -209,7 +209,7 @@
 
 
 def part_of(fleet, name):
-    return fleet.members[name].shares._accounts[WORKSPACE].bucket.holding.rate
+    return fleet.members[name].shares._accounts[WORKSPACE].bucket.share.rate
 
 
 def test_nobody_grows_while_loans_of_a_larger_part_are_out():
@@ -273,7 +273,7 @@
     """
     clock = Clock()
     bucket = Bucket(clock.now_ms())
-    bucket.set_holding(Holding(100.0, 4.0), clock.now_ms())
+    bucket.set_share(Share(100.0, 4.0), clock.now_ms())
     clock.time_ms += 1000
     bucket.lend(ask_for(4.0, number=1), clock.now_ms())
     clock.time_ms += 50
@@ -291,7 +291,7 @@
     """
     clock = Clock()
     bucket = Bucket(clock.now_ms())
-    bucket.set_holding(Holding(10.0, 4.0), clock.now_ms())
+    bucket.set_share(Share(10.0, 4.0), clock.now_ms())
     clock.time_ms += 1000
     bucket.lend(ask_for(4.0, number=2), clock.now_ms())
     bucket.lend(ask_for(0.0, number=1), clock.now_ms())
