--- a/bronzerelay/fleet.py
+++ b/bronzerelay/fleet.py
@@ -91,7 +91,7 @@
     ):
         self._runtime = runtime
         self._pools = {
-            address: runtime.open_http(address, pool_size=1, tls=tls)
+            address: runtime.open_http_pool(address, pool_size=1, tls=tls)
             for address in addresses
         }
 
--- a/bronzerelay/keyvalue.py
+++ b/bronzerelay/keyvalue.py
@@ -12,7 +12,7 @@
 from bronzerelay.nesting import ANSWER_NESTING, check_nesting
 from bronzerelay.registry import KEY_VALUE, register
 from bronzerelay.runtime import Address, Runtime
-from bronzerelay.types import Stored, Vm
+from bronzerelay.types import StoredValue, Vm
 
 POOL_SIZE = 8
 READ_BYTES = 65536
@@ -122,13 +122,13 @@
         self._timeout_ms = settings.timeout_ms
         self._headers = {"X-Caller": settings.caller}
         self._pools = [
-            runtime.open_http(address, POOL_SIZE) for address in settings.addresses
+            runtime.open_http_pool(address, POOL_SIZE) for address in settings.addresses
         ]
         self._preferred = 0
 
     # Values
 
-    def get(self, key: str) -> Result[Stored, Refusal]:
+    def get(self, key: str) -> Result[StoredValue, Refusal]:
         """Return the value of `key`, or NOT_FOUND."""
         return self._ask(_Call("GET", _value_path(key))).bind(
             lambda answer: _read_stored(answer, key)
@@ -136,7 +136,7 @@
 
     def watch(
         self, key: str, after: int, wait_ms: float
-    ) -> Result[Stored | None, Refusal]:
+    ) -> Result[StoredValue | None, Refusal]:
         """Return the value once its revision is above `after`; None after `wait_ms`.
 
         NOT_FOUND says that the key is gone; a watch after revision 0 waits for it to
@@ -198,17 +198,17 @@
             return _refuse_unavailable(str(error), UNKNOWN)
         if answer.status == HTTPStatus.CONFLICT:
             return _read_body(answer, ValueBody, UNKNOWN).bind(
-                lambda body: _compare_stored(key, value, Stored(**body))
+                lambda body: _compare_stored(key, value, StoredValue(**body))
             )
         return _read_body(answer, RevisionBody, UNKNOWN).map(
             lambda body: body["revision"]
         )
 
-    def _find(self, key: str) -> Result[Stored, Refusal]:
+    def _find(self, key: str) -> Result[StoredValue, Refusal]:
         """Return the value of `key`, an absent one with revision 0."""
         found = self.get(key)
         if found.is_error() and found.error.code is Code.NOT_FOUND:
-            return Ok(Stored(None, ABSENT_REVISION))
+            return Ok(StoredValue(None, ABSENT_REVISION))
         return found
 
     def list_keys(self, prefix: str) -> Result[list[str], Refusal]:
@@ -407,13 +407,13 @@
     return _read(answer, Any, name).map(lambda _: None)
 
 
-def _read_stored(answer: _Answer, key: str) -> Result[Stored, Refusal]:
-    return _read(answer, ValueBody, key).map(lambda body: Stored(**body))
+def _read_stored(answer: _Answer, key: str) -> Result[StoredValue, Refusal]:
+    return _read(answer, ValueBody, key).map(lambda body: StoredValue(**body))
 
 
 def _read_watch(
     answer: _Answer, key: str, after: int
-) -> Result[Stored | None, Refusal]:
+) -> Result[StoredValue | None, Refusal]:
     if answer.status == HTTPStatus.NO_CONTENT:
         return Ok(None)
     found = _read_stored(answer, key)
@@ -424,7 +424,7 @@
     return found
 
 
-def _compare_stored(key: str, value: Any, stored: Stored) -> Result[int, Refusal]:
+def _compare_stored(key: str, value: Any, stored: StoredValue) -> Result[int, Refusal]:
     """Return the revision when `value` is what is stored.
 
     Otherwise ours may have been stored and replaced since, or not at all, so that
--- a/bronzerelay/pooler/gossip.py
+++ b/bronzerelay/pooler/gossip.py
@@ -15,7 +15,7 @@
 from bronzerelay.pooler.directory import LeadRecord
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.pooler.sources import Report
-from bronzerelay.runtime import Address, Datagrams, Runtime
+from bronzerelay.runtime import Address, DatagramSocket, Runtime
 
 # Time between two heartbeats, in milliseconds. A daemon counts as silent after three
 # lost ones.
@@ -152,7 +152,7 @@
         self._name = name
         self._log = log
         self._lock = runtime.make_lock()
-        self._sock: Datagrams = runtime.open_datagrams(address)
+        self._sock: DatagramSocket = runtime.open_datagram_socket(address)
         self.incarnation = runtime.random.getrandbits(48)
         # When the heartbeats of the last seconds were sent, by number.
         self._sent: dict[int, float] = {}
--- a/bronzerelay/roster.py
+++ b/bronzerelay/roster.py
@@ -15,7 +15,7 @@
 from bronzerelay.rendezvous import rank
 from bronzerelay.runtime import Runtime
 from bronzerelay.spread import Spreader
-from bronzerelay.types import MemberEntry, Roster, Stored
+from bronzerelay.types import MemberEntry, Roster, StoredValue
 
 ROSTER_KEY = "roster"
 JOIN_RETRY_MS = 300
@@ -95,10 +95,10 @@
                 return False
         return False
 
-    def _read(self) -> Result[Stored, Any]:
+    def _read(self) -> Result[StoredValue, Any]:
         stored = self._key_value.get(ROSTER_KEY)
         if not stored.is_ok() and stored.error.code == Code.NOT_FOUND:
-            return Ok(Stored(EMPTY_ROSTER, 0))
+            return Ok(StoredValue(EMPTY_ROSTER, 0))
         return stored
 
     def join(self) -> None:
--- a/bronzerelay/runtime.py
+++ b/bronzerelay/runtime.py
@@ -310,7 +310,7 @@
         self._sock.close()
 
 
-class Datagrams:
+class DatagramSocket:
     """A UDP port; each call may be made by any task."""
 
     def __init__(self, sock: socket.socket):
@@ -471,7 +471,7 @@
         """
         return self._bind(address, tls, shared=True)
 
-    def reserve(self, address: Address) -> Listener:
+    def reserve_port(self, address: Address) -> Listener:
         """Return a listener, never to be opened, on a port that nobody has bound.
 
         Other processes may open the port while it is held, but can't reserve it.
@@ -498,14 +498,14 @@
             self._listeners.add(listener)
         return listener
 
-    def open_datagrams(self, address: Address) -> Datagrams:
+    def open_datagram_socket(self, address: Address) -> DatagramSocket:
         """Return a UDP port on `address`; port 0 takes a free one."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(address)
         sock.settimeout(DATAGRAM_WAIT_MS / 1000)
-        return Datagrams(sock)
+        return DatagramSocket(sock)
 
-    def open_http(
+    def open_http_pool(
         self, address: Address, pool_size: int, tls: ssl.SSLContext | None = None
     ) -> urllib3.HTTPConnectionPool:
         """Return a pool of HTTP connections that never retries by itself.
--- a/bronzerelay/types.py
+++ b/bronzerelay/types.py
@@ -100,7 +100,7 @@
     settled: NotRequired[bool]
 
 
-class Stored(NamedTuple):
+class StoredValue(NamedTuple):
     """A value of the key-value service with its revision."""
 
     value: Any
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -301,7 +301,7 @@
         self, name: str, path: str, timeout_ms: float = HTTP_TIMEOUT_MS
     ) -> tuple[int, bytes]:
         """Return status and body of a GET at a daemon; raise OSError without one."""
-        pool = self.runtime.open_http(self.addresses[name], pool_size=1)
+        pool = self.runtime.open_http_pool(self.addresses[name], pool_size=1)
         try:
             response = pool.request("GET", path, timeout=timeout_ms / 1000)
         except urllib3.exceptions.HTTPError as error:
--- a/standins/controls.py
+++ b/standins/controls.py
@@ -19,7 +19,7 @@
     """Reads and writes of the platform that no fault may hit, and its faults."""
 
     def __init__(self, runtime: Runtime, address: Address):
-        self._pool = runtime.open_http(address, pool_size=2)
+        self._pool = runtime.open_http_pool(address, pool_size=2)
 
     def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         """Return status and decoded body; raise AdminError when none comes."""
--- a/standins/linedemo.py
+++ b/standins/linedemo.py
@@ -29,7 +29,7 @@
         address = Address(LOCAL, runtime.random.choice(PORTS))
         try:
             runtime.listen(address).close()
-            runtime.open_datagrams(address).close()
+            runtime.open_datagram_socket(address).close()
         except OSError:
             continue
         return address
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -120,7 +120,7 @@
     while len(held) < count:
         port = FIRST_PORT + next(_ports) % (LAST_PORT - FIRST_PORT)
         with contextlib.suppress(OSError):
-            held.append(runtime.reserve(Address(HOST, port)))
+            held.append(runtime.reserve_port(Address(HOST, port)))
     return held
 
 
--- a/tests/builders_heartbeats.py
+++ b/tests/builders_heartbeats.py
@@ -90,7 +90,7 @@
 
     def __init__(self, fleet: "HeartbeatFleet", name: str, domain: str, number: int):
         runtime = make_runtime(fleet.clock)
-        runtime.open_datagrams = fleet.network.open
+        runtime.open_datagram_socket = fleet.network.open
         self.name = name
         self.peer = Peer(Address(name, number), domain)
         fleet.network.domains[self.peer.address] = domain
--- a/tests/test_keyvalue.py
+++ b/tests/test_keyvalue.py
@@ -9,7 +9,7 @@
 from bronzerelay.codes import NOT_RUN, UNKNOWN, Code
 from bronzerelay.keyvalue import KeyValueClient, KeyValueSettings
 from bronzerelay.runtime import Address, Runtime
-from bronzerelay.types import Stored, Vm
+from bronzerelay.types import StoredValue, Vm
 from standins.platform import DOWN, LOSE_ANSWERS, REFUSE, SLOW, UP
 from standins.store import Store
 from tests.builders_platform import find_free_address, run_platform
@@ -62,7 +62,7 @@
     losing.set_fault(LOSE_ANSWERS)
     client = platform.make_client(losing.address)
     assert client.put("config/current", {"members": ("a", "b")}, 0) == Ok(1)
-    assert client.get("config/current") == Ok(Stored({"members": ["a", "b"]}, 1))
+    assert client.get("config/current") == Ok(StoredValue({"members": ["a", "b"]}, 1))
     losing.stop()
 
 
@@ -89,7 +89,7 @@
         while len(outcomes) < 3 and platform.runtime.sleep_ms(10):
             pass
         assert outcomes == [True, True, False]
-        assert client.get("roster") == Ok(Stored("new", 2))
+        assert client.get("roster") == Ok(StoredValue("new", 2))
 
 
 def test_a_late_put_of_an_absent_key_is_unknown(platform):
@@ -101,7 +101,7 @@
     result = client.put("config/current", "new", 0)
     assert outcome(result) == (Code.PLATFORM_UNAVAILABLE, UNKNOWN)
     patient = platform.make_client()
-    assert patient.watch("config/current", 0, 5000) == Ok(Stored("new", 1))
+    assert patient.watch("config/current", 0, 5000) == Ok(StoredValue("new", 1))
 
 
 @pytest.mark.parametrize(
@@ -170,7 +170,7 @@
     assert operator.put("config/current", "v2", 1) == Ok(2)
     assert operator.put("config/current", "v3", 2) == Ok(3)
     platform.server.set_fault(UP)
-    assert client.watch("config/current", 1, 5000) == Ok(Stored("v3", 3))
+    assert client.watch("config/current", 1, 5000) == Ok(StoredValue("v3", 3))
 
 
 def test_the_next_address_is_tried(platform):
@@ -179,7 +179,7 @@
     """
     client = platform.make_client(find_free_address(platform.runtime))
     assert client.put("roster", "new", 0) == Ok(1)
-    assert client.get("roster") == Ok(Stored("new", 1))
+    assert client.get("roster") == Ok(StoredValue("new", 1))
 
 
 def test_a_hanging_address_is_left_alone(platform):
@@ -191,7 +191,7 @@
     platform.make_client().put("roster", "old", 0)
     client = platform.make_client(hanging.address, timeout_ms=SHORT_MS)
     assert client.put("roster", "new", 1) == Ok(2)
-    assert client.get("roster") == Ok(Stored("new", 2))
+    assert client.get("roster") == Ok(StoredValue("new", 2))
     assert hanging.show_calls()["by_caller"] == {"vm-1": 1}
     hanging.stop()
 
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -19,7 +19,7 @@
     """Sends plain requests and returns status and decoded body."""
 
     def __init__(self, runtime, address, name="vm-1"):
-        self._pool = runtime.open_http(address, 2)
+        self._pool = runtime.open_http_pool(address, 2)
         self._headers = {"X-Caller": name}
 
     def ask(self, method, path, body=None, timeout=5):
