--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -34,7 +34,9 @@
         first, second = fleet.daemons.values()
         first.take_lead(make_primary_record(4))
         fleet.run(1500)
-        assert second.directory.primary_records[make_primary_record(4).service].epoch == 4
+        assert (
+            second.directory.primary_records[make_primary_record(4).service].epoch == 4
+        )
         beat = first.heartbeats.build_beat()
         view = first.gossip.views["d1"]
         assert first.heartbeats.complete_beat(beat, view, 0.0).leads == []
@@ -52,7 +54,10 @@
         fleet.run(CALM_MS)
         first.take_lead(make_primary_record(4))
         fleet.run(CALM_MS)
-        leads = [one.directory.primary_records[make_primary_record(4).service] for one in others]
+        leads = [
+            one.directory.primary_records[make_primary_record(4).service]
+            for one in others
+        ]
         assert all(lead.settled for lead in leads)
 
     def test_heartbeat_without_room_for_all_changes_proves_nothing(self):
@@ -62,7 +67,9 @@
         first, second = fleet.daemons.values()
         first.directory.set_primary_record(make_primary_record(1, service="before"))
         for number in range(10):
-            first.directory.set_primary_record(make_primary_record(4, settled=False, service=f"s{number}"))
+            first.directory.set_primary_record(
+                make_primary_record(4, settled=False, service=f"s{number}")
+            )
         second.heartbeats._take_lead = lambda record: None
         fleet.run(2000)
         assert not second.guard.has_proof()
--- a/tests/test_primarychanges.py
+++ b/tests/test_primarychanges.py
@@ -194,7 +194,9 @@
     def test_change_whose_holder_writes_its_record_again_is_left_to_it(self, scene):
         # The holder waits for daemons behind a cut. A second one that begins the change
         # anew doesn't know whether the first has ordered a promotion.
-        scene.directory.set_primary_record(make_primary_record(1, settled=False, holder="d9"))
+        scene.directory.set_primary_record(
+            make_primary_record(1, settled=False, holder="d9")
+        )
         for revision in range(1, 12):
             scene.mirror.items[KEY] = Item(KEY, b"", revision)
             scene.tend_for(TAKEOVER_MS / 3)
@@ -206,12 +208,16 @@
         assert scene.orders == [(SECOND, 1)]
 
     def test_change_of_a_living_holder_is_left_to_it(self, scene):
-        scene.directory.set_primary_record(make_primary_record(4, settled=False, holder="d2"))
+        scene.directory.set_primary_record(
+            make_primary_record(4, settled=False, holder="d2")
+        )
         scene.tend_for(TAKEOVER_MS - 200)
         assert scene.orders == []
 
     def test_stalled_change_is_taken_over_under_a_higher_epoch(self, scene):
-        scene.directory.set_primary_record(make_primary_record(4, settled=False, holder="d2"))
+        scene.directory.set_primary_record(
+            make_primary_record(4, settled=False, holder="d2")
+        )
         scene.tend_for(TAKEOVER_MS + 2000)
         assert [epoch for _, epoch in scene.orders] == [5]
 
@@ -300,7 +306,9 @@
 
         def lose_race(expected, puts, removed):
             scene.mirror.items[KEY] = Item(KEY, b"other", 9)
-            scene.directory.set_primary_record(make_primary_record(9, settled=False, holder="d2"))
+            scene.directory.set_primary_record(
+                make_primary_record(9, settled=False, holder="d2")
+            )
             return real(expected, puts, removed)
 
         scene.mirror.compare_and_swap = lose_race
