--- a/bronzerelay/httpconnection.py
+++ b/bronzerelay/httpconnection.py
@@ -1,4 +1,4 @@
-"""HTTP connections of `urllib3` that the end of a runtime closes."""
+"""HTTP connections of `urllib3` that are closed together with the runtime."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,25 +9,25 @@
 
 
 class TrackedHttpConnection(urllib3.connection.HTTPConnection):
-    """An HTTP connection that the end of the runtime closes.
+    """An HTTP connection that closing the runtime also closes.
 
-    A pool knows only its idle connections. A task in a long watch would hold up the
-    end of the process until the watch is answered.
+    Closing a `urllib3` pool closes only its idle connections, so a task in a long watch
+    would delay the exit of the process until the watch is answered.
     """
 
-    def __init__(self, adopt: Callable[[Any], Connection], *args, **kwargs):
+    def __init__(self, track: Callable[[Any], Connection], *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self._adopt = adopt
-        self._adopted: Connection | None = None
+        self._track = track
+        self._tracked: Connection | None = None
 
     def connect(self) -> None:
-        """Connect, and let the runtime know of the connection."""
+        """Connect, and have the runtime track the connection."""
         super().connect()
-        self._adopted = self._adopt(self.sock)
+        self._tracked = self._track(self.sock)
 
     def close(self) -> None:
-        """Close, and let the runtime forget the connection."""
+        """Close, and have the runtime stop tracking the connection."""
         super().close()
-        if self._adopted is not None:
-            self._adopted.forget()
-            self._adopted = None
+        if self._tracked is not None:
+            self._tracked.untrack()
+            self._tracked = None
--- a/bronzerelay/runtime.py
+++ b/bronzerelay/runtime.py
@@ -1,7 +1,7 @@
-"""The seam to the outside world: time, randomness, tasks, connections."""
+"""The runtime: clock, randomness, tasks (threads) and sockets, replaceable in tests."""
 
-# Annotations stay text, so that `ssl` and `urllib3` are imported by those alone that
-# use them: they take 12 MB of a process.
+# Postponed annotations let `ssl` and `urllib3` be imported only where they are used:
+# they take 12 MB of memory per process.
 from __future__ import annotations
 
 import concurrent.futures
@@ -26,25 +26,25 @@
     import urllib3
 
 RECEIVE_BYTES = 65536
-# How often a task that waits for datagrams looks whether the process ends.
+# How often a task that waits for datagrams checks whether the process is stopping.
 DATAGRAM_WAIT_MS = 1000
 BACKLOG = 1024
-# A connection may fall silent for good while new ones work, and a wait on it lasts as
-# long as its timeout: where all daemons' watches of the platform fell silent at once,
-# withdrawn keys worked for up to 15 s more. The kernel asks the other side after a
-# second of silence, and again each second; after two questions without an answer a wait
-# ends with an error, within about 3 s, and the connection is opened anew.
+# TCP keepalive. A connection may go silent without a reset while new ones still work,
+# and a read on it then lasts until its timeout: when all daemons' watches of the
+# platform went silent at once, withdrawn keys kept working for up to 15 s longer. The
+# kernel sends a probe after one second of silence and then every second; after two
+# unanswered probes the read fails, within about 3 s, and the caller reconnects.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# The type of a random source, for modules that name it.
+# The type of a random number generator, for annotations in other modules.
 Random = random.Random
-# An idle task's stack stays this small, so that thousands of them fit.
+# The stack size of a task, kept small so that thousands of idle tasks fit in memory.
 TASK_STACK_BYTES = 256 * 1024
 
 
 class Address(NamedTuple):
-    """Where a process listens: an IP number and a port."""
+    """Where a process listens: an IP address and a port."""
 
     host: str
     port: int
@@ -55,7 +55,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that `text` names, or raise ValueError."""
+    """Return the address that `text` gives as `host:port`, or raise ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{text!r} is not an address of the form HOST:PORT")
@@ -63,27 +63,27 @@
 
 
 class ConnectionLostError(OSError):
-    """The connection ended before the awaited bytes came."""
+    """The connection ended before the expected bytes arrived."""
 
 
 class TaskLimitError(RuntimeError):
-    """All tasks of the runtime are taken; nothing was started."""
+    """The runtime's task limit is reached; nothing was started."""
 
 
 class Clock:
-    """Milliseconds of the machine's steady clock, time asleep included.
+    """The machine's monotonic clock in milliseconds, including time suspended.
 
-    A VM may be suspended for seconds, and `time.monotonic` doesn't count them. A proof
-    that a primary still led would look young after the VM woke up, and reads would go
-    to a primary that was replaced meanwhile.
+    A VM may be suspended for seconds, and `time.monotonic` doesn't count them. After
+    the VM resumed, an old proof that an instance is primary would look fresh, and reads
+    would go to a primary that was replaced in the meantime.
     """
 
     def now_ms(self) -> float:
-        """Return milliseconds since an arbitrary point; it never goes back."""
+        """Return milliseconds since an arbitrary point; the value never decreases."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
     def wall_ms(self) -> float:
-        """Return the time of day in Unix milliseconds, for people; it may jump."""
+        """Return the time of day in Unix milliseconds, for display; it may jump."""
         return time.time() * 1000
 
     def sleep_ms(self, duration_ms: float) -> None:
@@ -93,10 +93,10 @@
 
 
 class Signal:
-    """A flag that tasks wait for together with the bytes of a connection.
+    """A flag that a task can wait for at the same time as for a socket.
 
-    An event can't be awaited at the same time as a socket, and a task that looked at
-    it now and then would cost processor time on every idle connection.
+    `threading.Event` can't be polled together with a socket, and checking it
+    periodically would cost CPU time on every idle connection.
     """
 
     def __init__(self):
@@ -104,18 +104,20 @@
         self._closer = weakref.finalize(self, os.close, self._descriptor)
 
     def set(self) -> None:
-        """Wake every task that waits for the signal; it stays set for good."""
+        """Wake every task that waits for the signal; it stays set permanently."""
         os.eventfd_write(self._descriptor, 1)
 
     def wait(self) -> None:
-        """Wait until the signal is set, also by a handler of this very task.
+        """Wait until the signal is set, possibly by a signal handler of this task.
 
-        An event would not do: its `wait` and `set` share a lock, and a handler that
-        runs while its own task is about to wait would wait for itself for ever.
+        `threading.Event` would deadlock: its `wait` and `set` share a lock, so a
+        handler that calls `set` while the same thread holds the lock in `wait` would
+        block forever.
 
-        Only the main task may call it. A process's signal that comes just before the
-        wait, or is delivered to another task, interrupts nothing, and its handler would
-        run when the next one comes. The interpreter therefore tells of each in a pipe.
+        Only the main task may call it. A Unix signal that arrives just before the
+        wait, or is delivered to another thread, doesn't interrupt `poll`, and its
+        handler would run only when the next one arrives. The interpreter therefore
+        writes each Unix signal to a pipe that is polled as well.
         """
         reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         before = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
@@ -168,7 +170,7 @@
 
 
 def is_encrypted(sock: socket.socket) -> bool:
-    """Return whether a socket speaks TLS, without importing `ssl` to find out."""
+    """Return whether a socket uses TLS, without importing `ssl`."""
     return hasattr(sock, "do_handshake")
 
 
@@ -181,8 +183,8 @@
         self._timeout_ms: float | None = -1
 
     def set_timeout(self, timeout_ms: float | None) -> None:
-        """Let each later call wait `timeout_ms` at most; None waits for ever."""
-        # Setting it costs a system call, and another task takes the interpreter.
+        """Let each later call wait `timeout_ms` at most; None waits forever."""
+        # `settimeout` makes a system call, which also lets another thread take the GIL.
         if timeout_ms != self._timeout_ms:
             self._sock.settimeout(None if timeout_ms is None else timeout_ms / 1000)
             self._timeout_ms = timeout_ms
@@ -192,25 +194,25 @@
         self._sock.sendall(data)
 
     def receive(self, limit: int = RECEIVE_BYTES) -> bytes:
-        """Return the next bytes; b"" says that the other side has closed."""
+        """Return the next bytes; b"" means that the other side has closed."""
         return self._sock.recv(limit)
 
     def receive_exactly(self, count: int) -> bytes:
         """Return exactly `count` bytes, or raise ConnectionLostError."""
-        parts = []
+        chunks = []
         while count:
-            part = self._sock.recv(count)
-            if not part:
+            chunk = self._sock.recv(count)
+            if not chunk:
                 raise ConnectionLostError("the other side closed the connection")
-            parts.append(part)
-            count -= len(part)
-        return b"".join(parts)
+            chunks.append(chunk)
+            count -= len(chunk)
+        return b"".join(chunks)
 
     def is_quiet(self) -> bool:
-        """Return whether the connection is open and no bytes wait; never block.
+        """Return whether the connection is open with no unread bytes; never block.
 
-        Call it between requests only: it leaves the connection without waiting,
-        so that a timeout has to be set before the next call. TLS can't do it.
+        Call it only between requests: it sets the timeout to 0, so the caller has to
+        set a timeout before the next call. It doesn't work with TLS.
         """
         try:
             self.set_timeout(0)
@@ -224,32 +226,32 @@
     def wait_readable(
         self, timeout_ms: float | None, signal: Signal | None = None
     ) -> bool:
-        """Return whether bytes (or the end) can be received without waiting.
+        """Wait; return whether bytes or the end of the stream can be received.
 
-        Return False when time is up or `signal` is set and nothing has come.
+        Return False when the timeout passed or `signal` was set and nothing arrived.
         """
         if is_encrypted(self._sock) and self._sock.pending():
             return True
         return _wait_readable(self._sock, timeout_ms, signal)
 
     def complete_handshake(self) -> None:
-        """Complete the TLS handshake, if there is one, within the set timeout."""
+        """Complete the TLS handshake, if TLS is used, within the set timeout."""
         if is_encrypted(self._sock):
             self._sock.do_handshake()
 
     def finish_sending(self) -> None:
-        """Tell the other side that nothing more comes; receiving goes on."""
-        # An SSLSocket's own shutdown would forget the keys of both directions.
+        """Shut down the sending side; receiving still works."""
+        # `SSLSocket.shutdown` would drop the TLS state of both directions.
         socket.socket.shutdown(self._sock, socket.SHUT_WR)
 
-    def forget(self) -> None:
-        """Leave the connection out of the end of the runtime."""
+    def untrack(self) -> None:
+        """Stop tracking the connection: closing the runtime no longer closes it."""
         self._on_close(self)
 
     def close(self) -> None:
-        """Close the connection; a task that waits on it wakes with an error."""
-        # Without the shutdown a task blocked in recv sleeps on for ever, and the
-        # process can't end, since interpreter exit joins the executor's threads.
+        """Close the connection; a task that waits on it gets an error."""
+        # Without the shutdown a task blocked in recv would never wake, and the process
+        # couldn't exit, since interpreter exit joins the executor's threads.
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
@@ -257,32 +259,32 @@
 
 
 class Listener:
-    """A TCP port; until it is opened it refuses connections."""
+    """A bound TCP port; it refuses connections until it is opened."""
 
     def __init__(
         self,
         sock: socket.socket,
-        adopt: Callable[[socket.socket], Connection],
+        track: Callable[[socket.socket], Connection],
         tls: Callable[[], ssl.SSLContext] | None,
     ):
         self._sock = sock
-        self._adopt = adopt
+        self._track = track
         self._tls = tls
         self.address = Address(*sock.getsockname()[:2])
 
     def open(self) -> None:
-        """Let connections come in; raise OSError when another process has the port."""
+        """Start to listen; raise OSError when another process listens on the port."""
         self._sock.listen(BACKLOG)
 
-    def share(self) -> None:
-        """Let other processes bind the port, too, as long as it isn't open."""
+    def allow_shared_binding(self) -> None:
+        """Let other processes bind the port as well, as long as it isn't open."""
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
 
     def accept(self) -> Connection:
         """Return the next connection; raise OSError once the listener is closed.
 
         With TLS the handshake is left to the first send or receive, so that a
-        slow caller holds up only its own task.
+        slow caller blocks only its own task.
         """
         sock, _ = self._sock.accept()
         try:
@@ -294,31 +296,31 @@
         except BaseException:
             sock.close()
             raise
-        return self._adopt(sock)
+        return self._track(sock)
 
     def wait_readable(self, signal: Signal) -> bool:
-        """Wait; return True when a connection is there to accept.
+        """Wait; return True when a connection can be accepted.
 
-        Return False once `signal` is set and no connection is left to accept.
+        Return False once `signal` is set and no connection is waiting.
         """
         return _wait_readable(self._sock, None, signal)
 
     def close(self) -> None:
-        """Stop listening and wake the task that waits in `accept`."""
+        """Stop listening and wake the task blocked in `accept`."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
 
 class DatagramSocket:
-    """A UDP port; each call may be made by any task."""
+    """A UDP socket; any task may call its methods."""
 
     def __init__(self, sock: socket.socket):
         self._sock = sock
         self.address = Address(*sock.getsockname()[:2])
 
     def send_to(self, data: bytes, address: Address) -> None:
-        """Send one datagram, or raise OSError; it may get lost on its way."""
+        """Send one datagram, or raise OSError; it may be lost on the way."""
         self._sock.sendto(data, address)
 
     def receive(self, limit: int) -> bytes:
@@ -326,7 +328,7 @@
         return self._sock.recvfrom(limit)[0]
 
     def close(self) -> None:
-        """Close the port."""
+        """Close the socket."""
         self._sock.close()
 
 
@@ -336,7 +338,7 @@
 
 
 class Runtime:
-    """All that a process needs of the world outside; tests hand in another one."""
+    """Access to clock, randomness, tasks and sockets; tests may pass another one."""
 
     def __init__(self, task_limit: int = 256, seed: int | None = None):
         self.clock = Clock()
@@ -354,7 +356,7 @@
         self.report_failure: Callable[[str], None] = write_failure
 
     def make_random(self, seed: int) -> Random:
-        """Return a random source of its own, which repeats itself with the seed."""
+        """Return a new random number generator, deterministic for a given seed."""
         return Random(seed)
 
     # Tasks
@@ -362,10 +364,10 @@
     def start(
         self, function: Callable[..., Any], *args: Any
     ) -> concurrent.futures.Future:
-        """Start `function(*args)` as a task of its own and return its future.
+        """Start `function(*args)` as a new task and return its future.
 
-        Raise TaskLimitError when every task is taken. An executor would queue the
-        call without a word, and a caller would wait for a task that never comes.
+        Raise TaskLimitError when the task limit is reached. The executor alone would
+        queue the call silently, and a caller might wait for a task that never starts.
         """
         with self._lock:
             if self._running >= self.task_limit:
@@ -382,8 +384,8 @@
         try:
             return function(*args)
         except Exception:
-            # An executor keeps the error in a future that nobody may ever look at;
-            # the task would be gone without a word.
+            # The executor keeps the exception in a future that may never be read; the
+            # task would end silently.
             self.report_failure(traceback.format_exc())
             raise
         finally:
@@ -391,7 +393,7 @@
                 self._running -= 1
 
     def running_tasks(self) -> int:
-        """Return how many tasks run now."""
+        """Return how many tasks are running."""
         with self._lock:
             return self._running
 
@@ -400,7 +402,7 @@
         return threading.Lock()
 
     def make_condition(self) -> threading.Condition:
-        """Return a new condition with a lock of its own."""
+        """Return a new condition with its own lock."""
         return threading.Condition()
 
     def make_event(self) -> threading.Event:
@@ -417,19 +419,19 @@
         predicate: Callable[[], Any],
         timeout_ms: float,
     ) -> Any:
-        """Wait, the condition held, until `predicate` is true or time is up.
+        """Wait until `predicate` is true or the timeout passes; return its last value.
 
-        Return the last value of `predicate`.
+        The caller must hold the condition's lock.
         """
         return condition.wait_for(predicate, max(0.0, timeout_ms) / 1000)
 
     def sleep_ms(self, duration_ms: float) -> bool:
-        """Wait for `duration_ms`; return False at once when the process stops."""
+        """Wait for `duration_ms`; return False immediately when the process stops."""
         return not self._stopping.wait(max(0.0, duration_ms) / 1000)
 
     @property
     def stopping(self) -> bool:
-        """Whether the process has begun to end."""
+        """Whether `close` was called, so that the process is about to end."""
         return self._stopping.is_set()
 
     # Connections
@@ -447,12 +449,12 @@
         _keep_alive(sock)
         if tls is not None:
             sock = tls.wrap_socket(sock, server_hostname=server_name or address.host)
-        return self._adopt(sock)
+        return self._track(sock)
 
     def listen(
         self, address: Address, tls: Callable[[], ssl.SSLContext] | None = None
     ) -> Listener:
-        """Return an open listener on `address`; port 0 takes a free one."""
+        """Return an open listener on `address`; port 0 picks a free port."""
         listener = self.bind(address, tls)
         try:
             listener.open()
@@ -466,18 +468,19 @@
     ) -> Listener:
         """Return a listener that refuses connections until it is opened.
 
-        The kernel accepts connections for an open one that nobody looks at yet. Their
-        callers would wait for a process that starts, where another would serve them.
+        The kernel accepts connections on an open listener even before the process calls
+        `accept`. Callers would wait for a process that is still starting, although
+        another daemon could serve them.
         """
         return self._bind(address, tls, shared=True)
 
     def reserve_port(self, address: Address) -> Listener:
-        """Return a listener, never to be opened, on a port that nobody has bound.
+        """Return a listener that holds an unused port; it must never be opened.
 
-        Other processes may open the port while it is held, but can't reserve it.
+        Other processes may still listen on the port, but can't reserve it.
         """
         listener = self._bind(address, None, shared=False)
-        listener.share()
+        listener.allow_shared_binding()
         return listener
 
     def _bind(
@@ -493,13 +496,13 @@
         except OSError:
             sock.close()
             raise
-        listener = Listener(sock, self._adopt, tls)
+        listener = Listener(sock, self._track, tls)
         with self._lock:
             self._listeners.add(listener)
         return listener
 
     def open_datagram_socket(self, address: Address) -> DatagramSocket:
-        """Return a UDP port on `address`; port 0 takes a free one."""
+        """Return a UDP socket bound to `address`; port 0 picks a free port."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(address)
         sock.settimeout(DATAGRAM_WAIT_MS / 1000)
@@ -508,10 +511,10 @@
     def open_http_pool(
         self, address: Address, pool_size: int, tls: ssl.SSLContext | None = None
     ) -> urllib3.HTTPConnectionPool:
-        """Return a pool of HTTP connections that never retries by itself.
+        """Return a pool of HTTP connections that never retries on its own.
 
-        With TLS the end of the runtime doesn't close them: they last as long as the
-        timeout of their request.
+        Closing the runtime doesn't close those with TLS: each stays open until the
+        timeout of its request.
         """
         import urllib3
 
@@ -529,26 +532,26 @@
         pool = urllib3.HTTPConnectionPool(
             address.host, address.port, maxsize=pool_size, block=False, retries=False
         )
-        pool.ConnectionCls = functools.partial(TrackedHttpConnection, self._adopt)
+        pool.ConnectionCls = functools.partial(TrackedHttpConnection, self._track)
         return pool
 
-    def _adopt(self, sock: socket.socket) -> Connection:
-        connection = Connection(sock, self._forget)
+    def _track(self, sock: socket.socket) -> Connection:
+        connection = Connection(sock, self._untrack)
         with self._lock:
             self._connections.add(connection)
         return connection
 
-    def _forget(self, connection: Connection) -> None:
+    def _untrack(self, connection: Connection) -> None:
         with self._lock:
             self._connections.discard(connection)
 
-    # The end
+    # Shutdown
 
     def close(self, deadline_ms: float) -> bool:
         """Close every socket, then wait for the tasks; return whether all ended.
 
-        Sockets go first: a task that waits for bytes would otherwise hold up the
-        end of the process, because interpreter exit joins all tasks.
+        Sockets are closed first: a task that waits for bytes would otherwise block the
+        exit of the process, because interpreter exit joins all threads.
         """
         self._stopping.set()
         with self._lock:
--- a/bronzerelay/types.py
+++ b/bronzerelay/types.py
@@ -4,18 +4,18 @@
 
 from bronzerelay.runtime import Address
 
-# What operators write: the bundle, as TOML decodes it.
+# Configuration that operators write: the bundle, as decoded from TOML.
 
 
 class KeyEntry(TypedDict):
-    """A caller's key; only its SHA-256 hash is kept, as `sha256:HEX`."""
+    """A caller's key; only its SHA-256 hash is stored, as `sha256:HEX`."""
 
     id: str
     hash: str
 
 
 class WorkspaceEntry(TypedDict):
-    """A workspace: requests a second, burst in requests, the groups it may use."""
+    """A workspace; `rate` is in requests per second, `burst` in requests."""
 
     name: str
     rate: float
@@ -25,7 +25,7 @@
 
 
 class EndpointEntry(TypedDict):
-    """One instance of a database group; a leaving one gets no new work."""
+    """One instance of a database group; no new work is sent to a leaving instance."""
 
     name: str
     address: str
@@ -36,7 +36,7 @@
 
 
 class GroupEntry(TypedDict):
-    """A database group; reads accept data up to `max_age_ms` old unless they say."""
+    """A database group; `max_age_ms` is the default bound on the age of read data."""
 
     name: str
     endpoints: list[EndpointEntry]
@@ -44,14 +44,14 @@
 
 
 class OperatorEntry(TypedDict):
-    """Somebody who may sign bundles, with a public key as `ed25519:HEX`."""
+    """An operator who may sign bundles, with a public key as `ed25519:HEX`."""
 
     name: str
     public_key: str
 
 
 class Bundle(TypedDict):
-    """A whole configuration, as it is reviewed, signed and rolled out."""
+    """A complete configuration, as it is reviewed, signed and rolled out."""
 
     format: int
     version: int
@@ -68,7 +68,7 @@
 
 
 class ConfigRecord(TypedDict):
-    """What the platform holds for a bundle."""
+    """A bundle as stored in the platform, with its digest, author and signatures."""
 
     version: int
     digest: str
@@ -77,7 +77,7 @@
     signatures: list[SignatureEntry]
 
 
-# What daemons keep in the platform.
+# Data that daemons store in the platform.
 
 
 class MemberEntry(TypedDict):
@@ -89,10 +89,10 @@
 
 
 class Roster(TypedDict):
-    """The daemons that share the workspaces' rates; each change is a new epoch.
+    """The daemons that share the workspaces' rates; each change starts a new epoch.
 
-    `settled` says that every member has applied the epoch: whoever reads it needs no
-    other proof that nobody spends a larger share of an older epoch.
+    `settled` means that every member has applied this epoch. A reader then needs no
+    other proof that no member still uses a larger share from an older epoch.
     """
 
     epoch: int
@@ -108,13 +108,13 @@
 
 
 class Vm(NamedTuple):
-    """A line of the platform's list of VMs."""
+    """An entry of the platform's list of VMs."""
 
     name: str
     state: Literal["live", "leaving"]
 
 
-# What callers send.
+# Requests of callers, and their answers.
 
 
 class Statement(TypedDict):
@@ -144,7 +144,7 @@
 
 
 class StatementAnswer(TypedDict):
-    """What a statement gave; `served_by` names the endpoint and its role."""
+    """The result of a statement; `served_by` names the endpoint, `role` its role."""
 
     value: NotRequired[Any]
     session: NotRequired[str]
@@ -155,7 +155,7 @@
 
 
 class Position(NamedTuple):
-    """A place in a group's history; tuples compare as the log orders them."""
+    """A position in a group's replication log; positions compare in log order."""
 
     term: int
     position: int
@@ -191,7 +191,7 @@
 
 
 class Configuration(NamedTuple):
-    """A configuration ready for use by the daemon."""
+    """A bundle compiled for use by the daemon."""
 
     version: int
     digest: str
