--- a/bronzerelay/front.py
+++ b/bronzerelay/front.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 front: callers' connections, one task for each."""
+"""The HTTP/1.1 front: accepts callers' connections and serves each in its own task."""
 
 import contextlib
 import errno
@@ -14,34 +14,35 @@
 from bronzerelay.router import NO_WORKSPACE, Handlers, RequestRouter, format_refusal
 from bronzerelay.runtime import Address, Connection, Runtime, Signal
 from bronzerelay.settings import DaemonSettings
-from bronzerelay.tls import open_tls
+from bronzerelay.tls import make_context_loader
 from bronzerelay.wire import CONTINUE, CallerRequest, RequestParser, format_answer
 
-# When a caller that met the limit of connections, or the drain, should come back.
-COME_BACK_MS = 1000
+# Retry-After of refusals because of the connection limit or a drain.
+RETRY_AFTER_MS = 1000
 # How long the accepting task may take to send a refusal.
 REFUSAL_SEND_MS = 100
-# How long the front reads on after its last answer. Closing a socket that holds
-# unread bytes resets the connection, and the answer would be lost on its way.
+# How long the front keeps reading after its last answer. Closing a socket that has
+# unread bytes resets the connection, and the answer could be lost in transit.
 LINGER_MS = 1000
-# Refused connections that wait to be closed; the oldest give way to more.
-REFUSED_LIMIT = 256
-# Connections accepted after a drain began; a flood must not hold up the end.
-LATE_CONNECTIONS = 1024
-# A drain ends the first idle connections at once and more of them wave by wave, with a
-# pause for each connection.
-FIRST_WAVE = 64
-LATER_WAVES = 128
-WAVE_PAUSE_MS = 0.3
-# Without descriptors or memory the waiting connection can't be taken off the queue,
-# and the accepting task would try again and again without a pause. Any other error is
-# one connection's own, which must not hold up the next.
-EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+# How many refused connections may wait to be closed; a further one closes the oldest.
+MAX_REFUSED_CONNECTIONS = 256
+# How many connections are accepted after a drain began. Without a limit, a flood of
+# connections could keep the drain from ending.
+MAX_LATE_CONNECTIONS = 1024
+# A drain wakes the connections of the first batch at once and the others batch by
+# batch, with a pause in proportion to the size of each batch.
+FIRST_BATCH_SIZE = 64
+LATER_BATCH_COUNT = 128
+PAUSE_PER_CONNECTION_MS = 0.3
+# When file descriptors or memory run out, the pending connection stays in the kernel's
+# queue, and without a pause the accepting task would retry in a busy loop. Any other
+# error concerns one connection only and must not delay the next one.
+RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 ACCEPT_PAUSE_MS = 50
 
 
 class FrontSettings(NamedTuple):
-    """Limits of the front; times are milliseconds, sizes are bytes."""
+    """Settings of the front; times are milliseconds, sizes are bytes."""
 
     listen: Address
     max_connections: int = 400
@@ -54,12 +55,12 @@
 
 
 def pick_front_settings(settings: DaemonSettings) -> FrontSettings:
-    """Return the part of the daemon's settings that the front needs."""
+    """Return the daemon's settings that concern the front."""
     return FrontSettings(*(getattr(settings, field) for field in FrontSettings._fields))
 
 
-class Wave:
-    """Connections that a drain wakes together."""
+class DrainBatch:
+    """A group of connections that a drain wakes with one signal."""
 
     def __init__(self, signal: Signal):
         self.signal = signal
@@ -68,7 +69,7 @@
 
 @register(FRONT, "http")
 class HttpFront:
-    """Accepts callers' connections and answers each request in its order."""
+    """Accepts callers' connections and answers the requests of each in order."""
 
     def __init__(
         self,
@@ -81,88 +82,95 @@
         self._runtime = runtime
         self._settings = settings
         self._check_ready = handlers.check_ready
-        own_handlers = handlers._replace(check_ready=self._check_open)
+        own_handlers = handlers._replace(check_ready=self._check_not_draining)
         self._router = RequestRouter(runtime, own_handlers, metrics, log)
         self._metrics = metrics
         self._log = log
         self._changed = runtime.make_condition()
-        self._open = 0
+        self._open_count = 0
         self._accepting = False
-        self._refused: deque[tuple[Connection, float]] = deque()
+        self._refused_connections: deque[tuple[Connection, float]] = deque()
         self._draining = False
-        self._drain: Signal = runtime.make_signal()
-        self._first_wave = Wave(self._drain)
-        self._later_waves = [Wave(runtime.make_signal()) for _ in range(LATER_WAVES)]
+        self._drain_signal: Signal = runtime.make_signal()
+        self._first_batch = DrainBatch(self._drain_signal)
+        self._later_batches = [
+            DrainBatch(runtime.make_signal()) for _ in range(LATER_BATCH_COUNT)
+        ]
         self._tls = None
         if settings.tls_certificate:
-            self._tls = open_tls(settings.tls_certificate, settings.tls_key, log)
+            self._tls = make_context_loader(
+                settings.tls_certificate, settings.tls_key, log
+            )
         self._listener = runtime.bind(settings.listen, self._tls)
         self.address = self._listener.address
 
-    # The life of the front
+    # Start and drain
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Start to accept connections."""
         self._listener.open()
         self._accepting = True
         self._runtime.start(self._close_refused)
         self._runtime.start(self._accept)
-        self._log.info("Callers can connect.", extra={"address": str(self.address)})
+        self._log.info("The front is listening.", extra={"address": str(self.address)})
 
     def drain(self, deadline_ms: float) -> bool:
-        """Stop accepting, answer what runs, close; return whether all ended.
+        """Stop accepting, answer running requests and close all connections.
 
-        Requests that arrive on open connections meanwhile are answered, too.
+        Requests that arrive on open connections during the drain are answered as well.
+        Return whether all connections were closed before the deadline.
         """
         with self._changed:
             self._draining = True
             self._changed.notify_all()
-            self._drain.set()
+            self._drain_signal.set()
         end_ms = self._runtime.clock.now_ms() + deadline_ms
-        self._wake_waves(end_ms)
+        self._wake_batches(end_ms)
         with self._changed:
             ended = self._runtime.wait_for(
                 self._changed,
-                lambda: not self._accepting and not self._open,
+                lambda: not self._accepting and not self._open_count,
                 end_ms - self._runtime.clock.now_ms(),
             )
-            left = self._open
-        self._log.info("The drain is over.", extra={"connections_left": left})
+            left = self._open_count
+        self._log.info("The drain has ended.", extra={"connections_left": left})
         return bool(ended)
 
-    def _wake_waves(self, end_ms: float) -> None:
-        """Tell the idle connections of the drain, a few at a time.
+    def _wake_batches(self, end_ms: float) -> None:
+        """Wake the tasks of idle connections in batches, so that they close.
 
-        Woken all at once, thousands of tasks each ask for the interpreter every
-        switch interval and leave none of the processor to the one that has it: a
-        drain of 2,000 connections took 20 s, longer than it may, and cut requests.
+        When thousands of tasks wake at once, each requests the GIL every switch
+        interval, and the one that holds it makes hardly any progress: a drain of 2,000
+        connections took 20 s, more than its deadline, and requests were cut.
         """
         clock = self._runtime.clock
-        for wave in self._later_waves:
-            wave.signal.set()
+        for batch in self._later_batches:
+            batch.signal.set()
             left_ms = end_ms - clock.now_ms()
-            clock.sleep_ms(min(wave.count * WAVE_PAUSE_MS, left_ms))
+            clock.sleep_ms(min(batch.count * PAUSE_PER_CONNECTION_MS, left_ms))
 
-    def _check_open(self) -> Result[None, Refusal]:
+    def _check_not_draining(self) -> Result[None, Refusal]:
         if self._draining:
             return self._refuse_stopping()
         return self._check_ready()
 
     def _refuse_stopping(self) -> Result[None, Refusal]:
         message = "The daemon is stopping."
-        return refuse(Code.STOPPING, message, COME_BACK_MS)
+        return refuse(Code.STOPPING, message, RETRY_AFTER_MS)
 
     # Accepting
 
     def _accept(self) -> None:
-        late = 0
+        late_count = 0
         try:
-            while late < LATE_CONNECTIONS and self._listener.wait_readable(self._drain):
-                late += self._draining
+            while late_count < MAX_LATE_CONNECTIONS and self._listener.wait_readable(
+                self._drain_signal
+            ):
+                late_count += self._draining
                 self._accept_one()
         except OSError:
-            # The runtime closed the listener because the process ends.
-            self._log.info("The listener is closed.")
+            # The runtime closed the listener because the process is stopping.
+            self._log.info("The listener was closed.")
         finally:
             self._listener.close()
             with self._changed:
@@ -177,63 +185,65 @@
                 raise
             self._metrics.count_event("accept_failed")
             self._log.warning("A connection was not accepted: %s.", error)
-            if error.errno in EXHAUSTED:
+            if error.errno in RESOURCE_ERRORS:
                 self._runtime.sleep_ms(ACCEPT_PAUSE_MS)
             return
-        wave = self._reserve()
-        if wave is None:
+        batch = self._reserve()
+        if batch is None:
             self._refuse_connection(connection)
             return
         try:
-            self._runtime.start(self._serve, connection, wave)
+            self._runtime.start(self._serve, connection, batch)
         except RuntimeError:
-            # Other work has taken every task, or the process ends.
-            self._release(wave)
+            # All tasks of the runtime are in use, or the process is stopping.
+            self._release(batch)
             self._refuse_connection(connection)
 
-    def _reserve(self) -> Wave | None:
+    def _reserve(self) -> DrainBatch | None:
         with self._changed:
-            if self._open >= self._settings.max_connections:
+            if self._open_count >= self._settings.max_connections:
                 return None
-            wave = self._choose_wave()
-            wave.count += 1
-            self._open += 1
-            count = self._open
+            batch = self._choose_batch()
+            batch.count += 1
+            self._open_count += 1
+            count = self._open_count
         self._metrics.count_event("connection_accepted")
         self._metrics.set_gauge("connections", count)
-        return wave
+        return batch
 
-    def _choose_wave(self) -> Wave:
-        if self._first_wave.count < FIRST_WAVE:
-            return self._first_wave
-        return min(self._later_waves, key=lambda wave: wave.count)
+    def _choose_batch(self) -> DrainBatch:
+        if self._first_batch.count < FIRST_BATCH_SIZE:
+            return self._first_batch
+        return min(self._later_batches, key=lambda batch: batch.count)
 
-    def _release(self, wave: Wave) -> None:
+    def _release(self, batch: DrainBatch) -> None:
         with self._changed:
-            wave.count -= 1
-            self._open -= 1
-            count = self._open
+            batch.count -= 1
+            self._open_count -= 1
+            count = self._open_count
             self._changed.notify_all()
         self._metrics.set_gauge("connections", count)
 
     def _refuse_connection(self, connection: Connection) -> None:
-        """Answer a connection over the limit at once, from the accepting task.
+        """Refuse a connection over the limit immediately, from the accepting task.
 
-        No task is free for it, and in a queue it would wait in silence until its
-        caller's own timeout.
+        No task is free for it, and if it were queued, its caller would get no answer
+        until the caller's own timeout.
         """
         self._metrics.count_refusal(Code.CONNECTION_LIMIT, NO_WORKSPACE)
-        # A handshake takes as long as the caller likes, and would hold up all others.
-        if self._tls is None and not self._send_limit(connection, REFUSAL_SEND_MS):
+        # A slow caller could draw out a TLS handshake and block all other connections.
+        if self._tls is None and not self._send_limit_refusal(
+            connection, REFUSAL_SEND_MS
+        ):
             connection.close()
             return
         self._queue_refused(connection)
 
-    def _send_limit(self, connection: Connection, timeout_ms: float) -> bool:
-        """Send the refusal for too many connections; return whether it went out."""
+    def _send_limit_refusal(self, connection: Connection, timeout_ms: float) -> bool:
+        """Send the refusal for too many connections; return whether it was sent."""
         limit = self._settings.max_connections
         message = f"The daemon serves {limit} connections already."
-        refusal = refuse(Code.CONNECTION_LIMIT, message, COME_BACK_MS).error
+        refusal = refuse(Code.CONNECTION_LIMIT, message, RETRY_AFTER_MS).error
         request_id = self._router.make_request_id()
         answer = format_answer(format_refusal(refusal, request_id), request_id, False)
         try:
@@ -249,9 +259,9 @@
         end_ms = self._runtime.clock.now_ms() + LINGER_MS
         oldest = None
         with self._changed:
-            if len(self._refused) >= REFUSED_LIMIT:
-                oldest, _ = self._refused.popleft()
-            self._refused.append((connection, end_ms))
+            if len(self._refused_connections) >= MAX_REFUSED_CONNECTIONS:
+                oldest, _ = self._refused_connections.popleft()
+            self._refused_connections.append((connection, end_ms))
             self._changed.notify_all()
         if oldest is not None:
             oldest.close()
@@ -259,40 +269,40 @@
     def _close_refused(self) -> None:
         while True:
             with self._changed:
-                while not self._refused:
+                while not self._refused_connections:
                     if not self._accepting:
                         return
                     self._changed.wait()
-                connection, end_ms = self._refused.popleft()
+                connection, end_ms = self._refused_connections.popleft()
             if self._tls is not None:
                 left_ms = end_ms - self._runtime.clock.now_ms()
-                self._send_limit(connection, max(left_ms, REFUSAL_SEND_MS))
+                self._send_limit_refusal(connection, max(left_ms, REFUSAL_SEND_MS))
             self._linger(connection, end_ms)
             connection.close()
 
-    # One connection
+    # Serving a connection
 
-    def _serve(self, connection: Connection, wave: Wave) -> None:
+    def _serve(self, connection: Connection, batch: DrainBatch) -> None:
         try:
             connection.set_timeout(self._settings.request_timeout_ms)
             connection.complete_handshake()
-            self._converse(connection, wave.signal)
+            self._serve_requests(connection, batch.signal)
         except OSError:
-            # Callers leave whenever they like, also before their answer.
+            # A caller may disconnect at any time, even before its answer.
             self._metrics.count_event("caller_disconnected")
         except Exception:
             self._metrics.count_event("connection_failed")
-            self._log.exception("A connection ended by a fault.")
+            self._log.exception("A connection failed with an unexpected error.")
         finally:
             connection.close()
-            self._release(wave)
+            self._release(batch)
 
-    def _converse(self, connection: Connection, drain: Signal) -> None:
+    def _serve_requests(self, connection: Connection, drain_signal: Signal) -> None:
         settings = self._settings
         parser = RequestParser(settings.max_header_bytes, settings.max_body_bytes)
         keep_alive = True
         while keep_alive:
-            request = self._read_request(connection, parser, drain)
+            request = self._read_request(connection, parser, drain_signal)
             if request is None:
                 return
             if isinstance(request, Refusal):
@@ -300,30 +310,34 @@
                 break
             request_id = self._router.choose_request_id(request)
             answer = self._router.answer(request, request_id)
-            keep_alive = request.keep_alive and self._stays_open(connection, parser)
+            keep_alive = request.keep_alive and self._may_stay_open(connection, parser)
             connection.set_timeout(settings.request_timeout_ms)
             data = format_answer(answer, request_id, keep_alive, request.method)
             connection.send(data)
         connection.finish_sending()
         self._linger(connection, self._runtime.clock.now_ms() + LINGER_MS)
 
-    def _stays_open(self, connection: Connection, parser: RequestParser) -> bool:
-        """Return whether the answer may leave the connection open.
+    def _may_stay_open(self, connection: Connection, parser: RequestParser) -> bool:
+        """Return whether the connection stays open after this answer.
 
-        During a drain it may only where the caller has sent more already, which
-        would otherwise be cut.
+        During a drain it stays open only if the caller has already sent more bytes,
+        since closing it would cut that request.
         """
         if not self._draining:
             return True
-        more = parser.requests or parser.begun
-        return bool(more) or connection.wait_readable(0)
+        received = parser.requests or parser.has_partial_request
+        return bool(received) or connection.wait_readable(0)
 
     def _read_request(
-        self, connection: Connection, parser: RequestParser, drain: Signal
+        self, connection: Connection, parser: RequestParser, drain_signal: Signal
     ) -> CallerRequest | Refusal | None:
-        """Return the next request, why there is none, or None at the end."""
-        if not parser.requests and parser.fault is None and not parser.begun:
-            refusal = self._wait_idle(connection, drain)
+        """Return the next request, a refusal, or None when the caller has closed."""
+        if (
+            not parser.requests
+            and parser.fault is None
+            and not parser.has_partial_request
+        ):
+            refusal = self._wait_idle(connection, drain_signal)
             if refusal is not None:
                 return refusal
         clock = self._runtime.clock
@@ -342,20 +356,22 @@
             if not data:
                 return None
             parser.feed(data)
-            if parser.take_continue() and parser.fault is None:
+            if parser.consume_expect_continue() and parser.fault is None:
                 connection.send(CONTINUE)
             left_ms = end_ms - clock.now_ms()
         return parser.requests.popleft()
 
-    def _wait_idle(self, connection: Connection, drain: Signal) -> Refusal | None:
-        """Wait for the first bytes of a request; return why the wait is over.
+    def _wait_idle(
+        self, connection: Connection, drain_signal: Signal
+    ) -> Refusal | None:
+        """Wait for the first bytes of a request; return a refusal if none arrive.
 
-        A request may be on its way while the front gives up. Closing without a
-        word would cut it; with an answer sent first, its caller reads that nothing
-        ran, and may send it to another daemon.
+        A request may be in transit when the front closes the connection. Closing
+        without an answer would cut it; a refusal that is sent first tells the caller
+        that the request did not run, so that it can be sent to another daemon.
         """
         timeout_ms = self._settings.idle_timeout_ms
-        if connection.wait_readable(timeout_ms, drain):
+        if connection.wait_readable(timeout_ms, drain_signal):
             return None
         if self._draining:
             return self._refuse_stopping().error
@@ -375,7 +391,7 @@
         connection.send(format_answer(answer, request_id, False))
 
     def _linger(self, connection: Connection, end_ms: float) -> None:
-        """Read until the caller closes or time is up, and drop what comes."""
+        """Read and discard bytes until the caller closes or `end_ms` has passed."""
         clock = self._runtime.clock
         with contextlib.suppress(OSError):
             while (left_ms := end_ms - clock.now_ms()) > 0:
--- a/bronzerelay/router.py
+++ b/bronzerelay/router.py
@@ -1,4 +1,4 @@
-"""The way of one caller's request: path, key and body to the handler's answer."""
+"""Routes a caller's request by its path to a handler and formats the answer."""
 
 import math
 import re
@@ -23,10 +23,10 @@
 REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 PROMETHEUS_TEXT = "text/plain; version=0.0.4; charset=utf-8"
 
-# The workspace in counters of refusals that came before the key was judged. A name
-# that nobody has checked must not become a label.
+# The workspace label of refusals that came before the key was checked. A workspace name
+# of an unauthenticated caller must not become a metric label.
 NO_WORKSPACE = "-"
-UNPROVEN_CODES = frozenset(
+UNAUTHENTICATED_CODES = frozenset(
     {
         Code.KEY_MISSING,
         Code.KEY_REJECTED,
@@ -40,7 +40,7 @@
 
 
 class Handlers(NamedTuple):
-    """What the front calls; each may be called from many tasks at once."""
+    """Functions that the front calls, possibly from several tasks at the same time."""
 
     run_statement: Callable[
         [str, str, StatementRequest, str], Result[StatementAnswer, Refusal]
@@ -51,7 +51,7 @@
 
 
 class RequestRouter:
-    """Answers whole requests; `answer` may be called from many tasks at once."""
+    """Answers requests; several tasks may call `answer` at the same time."""
 
     def __init__(
         self, runtime: Runtime, handlers: Handlers, metrics: Metrics, log: Logger
@@ -72,21 +72,22 @@
         return f"{self._runtime.random.getrandbits(64):016x}"
 
     def choose_request_id(self, request: CallerRequest) -> str:
-        """Return the caller's own id where it is fit for logs and headers."""
+        """Return the caller's request id if it is safe in logs, or else a new one."""
         request_id = request.headers.get("x-request-id", "")
-        key = read_key(request)
+        key = read_bearer_key(request)
         if not REQUEST_ID.fullmatch(request_id) or (key and key in request_id):
             return self.make_request_id()
         return request_id
 
     def answer(self, request: CallerRequest, request_id: str) -> Answer:
-        """Return the answer to a request; a fault of the handler is an answer, too."""
-        with hide_key(read_key(request)):
+        """Return the answer to a request, also when its handler raises an exception."""
+        with hide_key(read_bearer_key(request)):
             try:
                 return self._route(request, request_id)
             except Exception:
                 self._log.exception(
-                    "A request ended by a fault.", extra={"request_id": request_id}
+                    "A request failed with an unexpected error.",
+                    extra={"request_id": request_id},
                 )
         message = "The daemon failed while it handled the request."
         refusal = refuse(Code.INTERNAL_ERROR, message).error
@@ -125,7 +126,7 @@
     def _run_statement(
         self, workspace: str, request: CallerRequest, request_id: str
     ) -> Answer:
-        key = read_key(request)
+        key = read_bearer_key(request)
         if not key:
             message = "The request has no key."
             refusal = refuse(Code.KEY_MISSING, message).error
@@ -134,16 +135,16 @@
         if decoded.is_error():
             return self._refuse(decoded.error, NO_WORKSPACE, request_id)
         clock = self._runtime.clock
-        begun_ms = clock.now_ms()
+        started_ms = clock.now_ms()
         result = self._handlers.run_statement(workspace, key, decoded.ok, request_id)
         if result.is_error():
             return self._refuse(result.error, workspace, request_id)
         group = decoded.ok["group"]
-        self._metrics.record_latency(workspace, group, clock.now_ms() - begun_ms)
+        self._metrics.record_latency(workspace, group, clock.now_ms() - started_ms)
         return format_result(result.ok, request_id)
 
     def _refuse(self, refusal: Refusal, workspace: str, request_id: str) -> Answer:
-        label = NO_WORKSPACE if refusal.code in UNPROVEN_CODES else workspace
+        label = NO_WORKSPACE if refusal.code in UNAUTHENTICATED_CODES else workspace
         self._metrics.count_refusal(refusal.code, label)
         return format_refusal(refusal, request_id)
 
@@ -156,14 +157,14 @@
         return answer._replace(headers=(("Allow", allowed),))
 
 
-def read_key(request: CallerRequest) -> str:
-    """Return the bearer key of a request; empty when it has none."""
+def read_bearer_key(request: CallerRequest) -> str:
+    """Return the bearer key of a request, or an empty string."""
     match = BEARER.fullmatch(request.headers.get("authorization", ""))
     return match[1] if match else ""
 
 
 def format_result(result: StatementAnswer, request_id: str) -> Answer:
-    """Return the answer to a request that ran."""
+    """Return the answer to a request that was run."""
     body = {**result, "code": Code.OK, "ran": "ran", "request_id": request_id}
     return Answer(200, msgspec.json.encode(body))
 
--- a/bronzerelay/tls.py
+++ b/bronzerelay/tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers, with a certificate that may change while the daemon runs."""
+"""TLS towards callers, with a certificate that is reloaded when its files change."""
 
 import os
 import ssl
@@ -7,33 +7,35 @@
 from typing import NamedTuple
 
 
-class FileState(NamedTuple):
-    """What tells one content of a file from the next."""
+class FileVersion(NamedTuple):
+    """Identifies one version of a file's content."""
 
     inode: int
     size: int
     modified_ns: int
 
 
-def open_tls(certificate: str, key: str, log: Logger) -> Callable[[], ssl.SSLContext]:
-    """Return a function that returns the context of the files as they are now.
+def make_context_loader(
+    certificate: str, key: str, log: Logger
+) -> Callable[[], ssl.SSLContext]:
+    """Return a function that returns the context, reloaded when the files changed.
 
-    Raise OSError when the files can't be used at first. Only one task may call the
+    Raise OSError when the files can't be used now. Only one task may call the returned
     function.
     """
     paths = (certificate, key)
-    states = _read_states(paths)
+    versions = _read_versions(paths)
     context = load_context(certificate, key)
 
-    def choose_context() -> ssl.SSLContext:
-        nonlocal states, context
-        new_states = _read_states(paths)
-        if new_states == states:
+    def load_current_context() -> ssl.SSLContext:
+        nonlocal versions, context
+        new_versions = _read_versions(paths)
+        if new_versions == versions:
             return context
-        # Whoever renews a certificate replaces two files, one after the other. In
-        # between they don't match, and callers would find no TLS at all. So the last
-        # good pair stays in use until the next change.
-        states = new_states
+        # Renewing a certificate replaces two files, one after the other. In between
+        # they don't match and can't be loaded, so that no caller could connect. The
+        # last good pair therefore stays in use until the files change again.
+        versions = new_versions
         try:
             context = load_context(certificate, key)
         except OSError as error:
@@ -42,25 +44,26 @@
             log.info("The changed certificate is in use.")
         return context
 
-    return choose_context
+    return load_current_context
 
 
 def load_context(certificate: str, key: str) -> ssl.SSLContext:
-    """Return a server's context, or raise OSError."""
+    """Return a server's TLS context with the certificate, or raise OSError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    # Without a password the library would ask at the terminal and wait for ever.
+    # Without a password callback, OpenSSL would prompt on the terminal for that of an
+    # encrypted key and block.
     context.load_cert_chain(certificate, key, password=lambda: "")
     return context
 
 
-def _read_states(paths: tuple[str, str]) -> list[FileState | None]:
-    return [_read_state(path) for path in paths]
+def _read_versions(paths: tuple[str, str]) -> list[FileVersion | None]:
+    return [_read_version(path) for path in paths]
 
 
-def _read_state(path: str) -> FileState | None:
+def _read_version(path: str) -> FileVersion | None:
     try:
         status = os.stat(path)
     except OSError:
         return None
-    return FileState(status.st_ino, status.st_size, status.st_mtime_ns)
+    return FileVersion(status.st_ino, status.st_size, status.st_mtime_ns)
--- a/bronzerelay/wire.py
+++ b/bronzerelay/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as callers send it: bytes to requests, answers to bytes."""
+"""HTTP/1.1 towards callers: parses requests and formats answers."""
 
 import math
 from collections import deque
@@ -11,17 +11,19 @@
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 JSON = "application/json"
-# Each chunk of a chunked body has a line of its own. A caller could send mostly such
-# lines, which count as no body; this bounds how much of it a request may carry.
+# Each chunk of a chunked body has a header line, which doesn't count towards the body's
+# size. This factor, times the largest body, bounds the raw bytes of a request, so that
+# a caller can't send an endless request of mostly chunk headers.
 FRAMING_FACTOR = 8
-# What a header takes on the wire besides its name and value.
-HEADER_FRAME_BYTES = 4
-# Two different values would let a proxy in front judge by another one than we do.
+# The bytes of a header line besides its name and value: ": " and CRLF.
+HEADER_OVERHEAD_BYTES = 4
+# Headers that may occur only once: a proxy in front might use another of two values
+# than the daemon does.
 SINGLE_HEADERS = frozenset({"authorization", "host", "content-type"})
 
 
 class CallerRequest(NamedTuple):
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -31,7 +33,7 @@
 
 
 class Answer(NamedTuple):
-    """What a caller gets; `headers` come on top of the usual ones."""
+    """An answer to a caller; `headers` are sent in addition to the standard ones."""
 
     status: int
     body: bytes
@@ -41,7 +43,7 @@
 
 
 class RefusedError(Exception):
-    """Carries a refusal out of the parser's callbacks."""
+    """Raised in the parser's callbacks to reject a request with a refusal."""
 
     def __init__(self, refusal: Refusal):
         super().__init__(refusal.message)
@@ -49,16 +51,16 @@
 
 
 class RequestParser:
-    """Turns a connection's bytes into requests, until a fault ends it.
+    """Parses a connection's bytes into requests, up to the first fault.
 
-    `requests` holds those that came whole, in order; `fault` is what is wrong with
-    the bytes after them. `begun` says that a request has come in part.
+    `requests` holds the complete requests in order; `fault` is the refusal for the
+    bytes after them. `has_partial_request` is set while a request is incomplete.
     """
 
     def __init__(self, max_header_bytes: int, max_body_bytes: int):
         self.requests: deque[CallerRequest] = deque()
         self.fault: Refusal | None = None
-        self.begun = False
+        self.has_partial_request = False
         self._max_header_bytes = max_header_bytes
         self._max_body_bytes = max_body_bytes
         self._max_raw_bytes = max_header_bytes + FRAMING_FACTOR * max_body_bytes
@@ -66,7 +68,7 @@
         self._clear()
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the connection."""
+        """Parse the next bytes of the connection."""
         if self.fault is not None:
             return
         self._raw_bytes += len(data)
@@ -80,63 +82,65 @@
                 raise
             self.fault = error.__context__.refusal
         except httptools.HttpParserUpgrade:
-            self.fault = _refuse_request("The daemon changes to no other protocol.")
+            self.fault = _refuse_malformed("The daemon changes to no other protocol.")
         except httptools.HttpParserError as error:
-            self.fault = _refuse_request(f"The request is not HTTP/1.1: {error}.")
+            self.fault = _refuse_malformed(f"The request is not HTTP/1.1: {error}.")
 
-    def take_continue(self) -> bool:
-        """Return whether the caller waits for a `100 Continue`; True only once."""
-        waits, self._waits = self._waits, False
-        return waits
+    def consume_expect_continue(self) -> bool:
+        """Return whether the caller expects `100 Continue`; True once per request."""
+        expects, self._expects_continue = self._expects_continue, False
+        return expects
 
-    # What httptools calls.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        self.begun = True
+        """Start a request."""
+        self.has_partial_request = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._count_header(len(url))
         self._url += url
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        """Take a header, or a trailer, which is counted and dropped."""
+        """Store a header; a trailer only counts towards the limit and is discarded."""
         value = value or b""
-        self._count_header(len(name) + len(value) + HEADER_FRAME_BYTES)
+        self._count_header(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
         if self._in_body:
             return
         key = name.decode("latin-1").lower()
         text = value.decode("latin-1").strip()
         if key in self._headers:
             if key in SINGLE_HEADERS:
-                raise RefusedError(_refuse_request(f"The header {key} came twice."))
+                raise RefusedError(_refuse_malformed(f"The header {key} came twice."))
             text = f"{self._headers[key]}, {text}"
         self._headers[key] = text
 
     def on_headers_complete(self) -> None:
-        """Judge by the headers alone what can be judged."""
+        """Check the declared body length, and whether `100 Continue` is expected."""
         self._in_body = True
         length = self._headers.get("content-length", "0")
         if length.isdigit() and int(length) > self._max_body_bytes:
             raise RefusedError(self._refuse_body())
-        self._waits = self._headers.get("expect", "").lower() == "100-continue"
+        self._expects_continue = (
+            self._headers.get("expect", "").lower() == "100-continue"
+        )
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self._max_body_bytes:
             raise RefusedError(self._refuse_body())
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Put the request into the queue."""
+        """Append the complete request to `requests`."""
         if self._parser.should_upgrade():
             message = "The daemon changes to no other protocol."
-            raise RefusedError(_refuse_request(message))
+            raise RefusedError(_refuse_malformed(message))
         request = CallerRequest(
             self._parser.get_method().decode("latin-1"),
-            _read_path(self._url),
+            _parse_path(self._url),
             self._headers,
             b"".join(self._body),
             self._parser.should_keep_alive(),
@@ -145,7 +149,7 @@
         self._clear()
 
     def _clear(self) -> None:
-        self.begun = False
+        self.has_partial_request = False
         self._url = b""
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
@@ -153,7 +157,7 @@
         self._header_bytes = 0
         self._raw_bytes = 0
         self._in_body = False
-        self._waits = False
+        self._expects_continue = False
 
     def _count_header(self, count: int) -> None:
         self._header_bytes += count
@@ -161,8 +165,8 @@
             raise RefusedError(self._refuse_headers())
 
     def _check_raw_bytes(self) -> None:
-        # The parser reports a header only when its line is whole. One endless line
-        # would fill the memory unreported, hence the count of the bytes themselves.
+        # httptools reports a header only once its line is complete. An endless line
+        # would fill the memory without any callback, so the raw bytes are counted too.
         if not self._in_body and self._raw_bytes > self._max_header_bytes:
             raise RefusedError(self._refuse_headers())
         if self._raw_bytes > self._max_raw_bytes:
@@ -193,19 +197,19 @@
     lines += [f"{name}: {value}" for name, value in answer.headers]
     lines.append("Connection: keep-alive" if keep_alive else "Connection: close")
     head = "\r\n".join([*lines, "", ""]).encode("latin-1")
-    # A caller of HEAD reads no body; one that came would count as its next answer.
+    # The caller expects no body after HEAD, and would take one for its next answer.
     return head if method == "HEAD" else head + answer.body
 
 
-def _refuse_request(message: str) -> Refusal:
+def _refuse_malformed(message: str) -> Refusal:
     return refuse(Code.MALFORMED_REQUEST, message).error
 
 
-def _read_path(url: bytes) -> str:
+def _parse_path(url: bytes) -> str:
     try:
         path = httptools.parse_url(url).path
     except httptools.HttpParserInvalidURLError:
         path = None
     if not path:
-        raise RefusedError(_refuse_request("The target of the request is malformed."))
+        raise RefusedError(_refuse_malformed("The target of the request is malformed."))
     return path.decode("latin-1")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -8,7 +8,7 @@
 
 from bronzerelay.codes import Code
 from bronzerelay.logs import open_log
-from bronzerelay.tls import open_tls
+from bronzerelay.tls import make_context_loader
 from tests.builders_front import (
     build_request,
     run_front,
@@ -79,6 +79,6 @@
     certificate, key = write_certificate(tmp_path, "first")
     log = open_log("front", io.StringIO())
     with pytest.raises(OSError):
-        open_tls(certificate, str(tmp_path / "absent.pem"), log)
+        make_context_loader(certificate, str(tmp_path / "absent.pem"), log)
     with pytest.raises(OSError):
-        open_tls(key, certificate, log)
+        make_context_loader(key, certificate, log)
