--- a/bronzerelay/codes.py
+++ b/bronzerelay/codes.py
@@ -1,7 +1,7 @@
-"""The numbered result codes, and the refusal that carries one."""
+"""The numbered result codes, and refusals, which carry a code."""
 
-# `expression` takes 11 MB of a process and 45 ms of its start, so that it is imported
-# by those alone that use results; annotations stay text for that.
+# `expression` takes 11 MB of memory and 45 ms of start-up time. It is imported only
+# where results are used, which is why annotations are postponed.
 from __future__ import annotations
 
 from enum import IntEnum
@@ -16,10 +16,10 @@
 
 
 class Code(IntEnum):
-    """Every result code; `docs/CODES.md` holds the same table."""
+    """Every result code; `docs/CODES.md` has the same table."""
 
     OK = 0
-    # What is wrong with the request itself.
+    # Faults of the request itself.
     MALFORMED_JSON = 101
     BODY_TOO_LARGE = 102
     UNKNOWN_PATH = 103
@@ -29,7 +29,7 @@
     WRONG_METHOD = 107
     INVALID_SESSION = 108
     CALLER_TOO_SLOW = 109
-    # Who may run what.
+    # Authentication and authorization.
     KEY_MISSING = 201
     KEY_REJECTED = 202
     WORKSPACE_UNKNOWN = 203
@@ -57,7 +57,7 @@
     ISOLATED = 503
     PEER_UNREACHABLE = 504
     PEER_REJECTED = 505
-    # What operators meet.
+    # Operators' commands.
     PLATFORM_UNAVAILABLE = 601
     COMPARE_FAILED = 602
     BUNDLE_INVALID = 603
@@ -67,7 +67,7 @@
 
 
 class CodeEntry(NamedTuple):
-    """What a code means: its HTTP status, whether the request ran, what to do."""
+    """A code's HTTP status, whether the request ran, and advice for the caller."""
 
     status: int
     ran: str
@@ -193,7 +193,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request got no result; `ran` is "not_run", "ran" or "unknown"."""
+    """The reason why a request was refused; `ran` is NOT_RUN, RAN or UNKNOWN."""
 
     code: Code
     message: str
@@ -202,7 +202,7 @@
 
 
 def refuse(code: Code, message: str, retry_after_ms: int = 0, ran: str = "") -> Result:
-    """Return an Error result with a refusal; `ran` defaults to the code's own."""
+    """Return an Error result with a refusal; `ran` defaults to that of the code."""
     from expression import Error
 
     refusal = Refusal(code, message, ran or CODES[code].ran, retry_after_ms)
--- a/bronzerelay/configuration.py
+++ b/bronzerelay/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this daemon; its version never goes back."""
+"""The configuration in force at this daemon; its version never decreases."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,14 +13,14 @@
 
 
 class ConfigurationStore:
-    """Holds the record in force and tells others when it changes."""
+    """Holds the record in force and notifies callbacks when it changes."""
 
     def __init__(self, runtime: Runtime):
         self._lock = runtime.make_lock()
         self._record: ConfigRecord | None = None
         self._current: Configuration | None = None
         self._applied_version = 0
-        self._on_change: list[Callable[[Configuration], None]] = []
+        self._callbacks: list[Callable[[Configuration], None]] = []
 
     @property
     def current(self) -> Configuration | None:
@@ -29,52 +29,52 @@
 
     @property
     def record(self) -> ConfigRecord | None:
-        """Return the record in force as peers pass it on, or None."""
+        """Return the record in force, as exchanged with peers, or None."""
         return self._record
 
     @property
     def version(self) -> int:
-        """Return the version that is wholly in force; 0 before the first."""
+        """Return the version that is completely in force; 0 before the first."""
         return self._applied_version
 
-    def call_on_change(self, function: Callable[[Configuration], None]) -> None:
-        """Call `function` with each configuration that comes into force."""
-        self._on_change.append(function)
+    def call_on_change(self, callback: Callable[[Configuration], None]) -> None:
+        """Call `callback` with each configuration that comes into force."""
+        self._callbacks.append(callback)
 
     def accept(self, data: Any) -> bool:
-        """Put the record in `data` in force if its version is higher.
+        """Put the record in `data` in force if its version is higher than the current.
 
-        Return whether it was; a malformed record, or one whose digest isn't that of
-        its bundle, never is.
+        Return whether it was put in force. A malformed record, or one whose digest
+        doesn't match its bundle, never is.
 
-        An old watch may answer late, and a peer may be behind. Taking their word
-        would bring a withdrawn key back, so that only a higher version counts.
+        Only a higher version is accepted because the answer to an old watch may arrive
+        late, and a peer may be behind; an older version could restore a withdrawn key.
         """
         checked = check_record(data)
         if not checked.is_ok():
             return False
         record = checked.ok
-        compiled = compile_bundle(record)
+        configuration = compile_bundle(record)
         with self._lock:
-            if compiled.version <= self._known_version():
+            if configuration.version <= self._current_version():
                 return False
-            # The keys are checked against the new version from here on.
+            # From here on, keys are checked against the new version.
             self._record = record
-            self._current = compiled
-            for function in self._on_change:
-                function(compiled)
-            # Told to peers and operators only now: a version that is shown as in
-            # force while its groups or rates aren't would end a rollout too early.
-            self._applied_version = compiled.version
+            self._current = configuration
+            for callback in self._callbacks:
+                callback(configuration)
+            # Peers and operators see the version only now: if it were reported before
+            # its groups and rates are in force, a rollout would end too early.
+            self._applied_version = configuration.version
         return True
 
-    def _known_version(self) -> int:
+    def _current_version(self) -> int:
         return self._current.version if self._current else 0
 
-    # What a request needs
+    # Checks of a request
 
     def check_key(self, workspace: str, key: str) -> Result[WorkspaceSpec, Refusal]:
-        """Return the workspace if `key` is one of its own in force."""
+        """Return the workspace if `key` is one of its keys in force."""
         current = self._current
         if current is None:
             return refuse(Code.NO_CONFIGURATION, "No configuration is in force.", 1000)
--- a/bronzerelay/daemon.py
+++ b/bronzerelay/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's main: builds the parts, runs them, and stops them in order."""
+"""The daemon's main module: builds its components, runs and stops them in order."""
 
 import os
 import signal
@@ -21,18 +21,20 @@
 from bronzerelay.sharekeeper import ShareKeeper
 from bronzerelay.transactions import Transactions
 
-# Imported for what they register.
+# Imported because importing them registers the plug-ins.
 PLUGINS = (dialect, front, keyvalue)
-# Tasks besides those of callers: peers' links, watches of instances, own loops.
+# Tasks besides those for callers' connections: peers' links, watches of instances and
+# the daemon's own loops.
 EXTRA_TASKS = 600
-END_MS = 2000
-# Peers learn from heartbeats that this daemon is stopping before it refuses.
-ANNOUNCE_BEATS = 2
+CLOSE_DEADLINE_MS = 2000
+# How many heartbeats announce to the peers that this daemon is stopping, before it
+# refuses their requests.
+ANNOUNCE_HEARTBEATS = 2
 SEED_RETRY_MS = 300
 
 
-class Parts(NamedTuple):
-    """The parts of a running daemon that its main touches again."""
+class Components(NamedTuple):
+    """The components that the daemon accesses after building them."""
 
     kernel: Kernel
     share_keeper: ShareKeeper
@@ -48,17 +50,17 @@
 
 
 class Daemon:
-    """A whole daemon in one process."""
+    """A complete daemon in one process."""
 
     def __init__(self, runtime: Runtime, settings: DaemonSettings):
         self._runtime = runtime
         self._settings = settings
         self._log = logs.open_log("daemon")
         self.metrics = Metrics(runtime)
-        self.parts = self._build()
-        self._connect()
+        self.components = self._build()
+        self._register_callbacks()
 
-    def _build(self) -> Parts:
+    def _build(self) -> Components:
         runtime, settings = self._runtime, self._settings
         membership = Membership(
             runtime,
@@ -99,7 +101,7 @@
             self.metrics.count_event,
         )
         key_value = self._build_key_value()
-        return Parts(
+        return Components(
             kernel,
             ShareKeeper(runtime, membership, kernel.shares),
             groups,
@@ -170,115 +172,116 @@
             logs.open_log("front"),
         )
 
-    def _connect(self) -> None:
-        parts = self.parts
+    def _register_callbacks(self) -> None:
+        components = self.components
 
         def apply_configuration(configuration: Any) -> None:
-            parts.groups.set_configuration(configuration)
-            parts.share_keeper.apply_configuration(configuration)
+            components.groups.set_configuration(configuration)
+            components.share_keeper.apply_configuration(configuration)
             self._log.info(
                 "A configuration is in force.", extra={"version": configuration.version}
             )
 
-        parts.store.call_on_change(apply_configuration)
-        parts.gossip.call_on_roster(parts.share_keeper.apply_roster)
+        components.store.call_on_change(apply_configuration)
+        components.gossip.call_on_roster(components.share_keeper.apply_roster)
 
     def _confirm_shares(self) -> None:
-        """Let the shares grow once every member is known to have shrunk."""
+        """Raise this daemon's shares once all members have applied their reductions."""
         while self._runtime.sleep_ms(self._settings.heartbeat_ms):
-            self.parts.share_keeper.confirm()
+            self.components.share_keeper.confirm()
 
-    # What the pages show
+    # Pages of the front
 
     def show_status(self) -> dict[str, Any]:
-        """Return what `GET /status` shows."""
-        parts = self.parts
-        record = parts.store.record
-        roster = parts.membership.roster
+        """Return the content of `GET /status`."""
+        components = self.components
+        record = components.store.record
+        roster = components.membership.roster
         return {
             "name": self._settings.name,
             "failure_domain": self._settings.failure_domain,
-            "config_version": parts.store.version,
+            "config_version": components.store.version,
             "digest": record["digest"] if record else "",
             "roster_epoch": roster["epoch"],
             "roster_settled": bool(roster.get("settled")),
             "members": {
-                name: parts.membership.is_alive(name)
-                for name in parts.membership.member_names()
+                name: components.membership.is_alive(name)
+                for name in components.membership.member_names()
             },
-            "groups": parts.groups.describe(),
-            "standby_groups": parts.groups.list_standby(),
-            "transactions": parts.transactions.count(),
-            "isolated": parts.membership.is_isolated(),
-            "stopping": parts.kernel.stopping,
+            "groups": components.groups.describe(),
+            "standby_groups": components.groups.list_standby(),
+            "transactions": components.transactions.count(),
+            "isolated": components.membership.is_isolated(),
+            "stopping": components.kernel.stopping,
         }
 
     def render_metrics(self) -> bytes:
-        """Return what `GET /metrics` shows."""
-        parts = self.parts
-        self.metrics.set_gauge("config_version", parts.store.version)
+        """Return the content of `GET /metrics`."""
+        components = self.components
+        self.metrics.set_gauge("config_version", components.store.version)
         self.metrics.set_gauge("tasks", self._runtime.running_tasks())
-        self.metrics.set_gauge("transactions", parts.transactions.count())
+        self.metrics.set_gauge("transactions", components.transactions.count())
         return self.metrics.render()
 
-    # The life of the daemon
+    # Start and stop
 
     def start(self) -> None:
-        """Start every part."""
-        parts = self.parts
-        parts.server.start()
-        parts.gossip.start()
-        parts.watch.start()
-        self._runtime.start(parts.roster.join)
-        self._runtime.start(parts.roster.clean)
-        self._runtime.start(parts.groups.maintain)
-        self._runtime.start(parts.transactions.sweep)
+        """Start every component."""
+        components = self.components
+        components.server.start()
+        components.gossip.start()
+        components.watch.start()
+        self._runtime.start(components.roster.join)
+        self._runtime.start(components.roster.clean)
+        self._runtime.start(components.groups.maintain)
+        self._runtime.start(components.transactions.sweep)
         self._runtime.start(self._confirm_shares)
         self._runtime.start(self._ask_seeds)
-        parts.front.start()
+        components.front.start()
 
     def _ask_seeds(self) -> None:
-        """Ask the seeds until there is a configuration, from them or the platform."""
-        while self.parts.store.version == 0 and not self._runtime.stopping:
+        """Ask the seeds until a configuration came from them or from the platform."""
+        while self.components.store.version == 0 and not self._runtime.stopping:
             for address in self._settings.seeds:
-                self.parts.gossip.fetch_from_seed(address)
+                self.components.gossip.fetch_from_seed(address)
             self._runtime.sleep_ms(SEED_RETRY_MS)
 
     def stop(self) -> bool:
-        """Stop without cutting a request; return whether all of them ended.
+        """Stop without cutting requests; return whether all of them ended.
 
-        Peers learn first that this daemon is stopping, so that they serve its groups
-        elsewhere; then callers' requests end, then those of peers.
+        First peers are told that this daemon is stopping, so that other daemons serve
+        its groups. Then callers' requests are drained, and then those of peers.
         """
-        parts = self.parts
+        components = self.components
         self._log.info("The daemon is stopping.")
-        parts.membership.note_stopping()
-        lent_until_ms = parts.kernel.shares.stop_lending()
-        beats_ms = ANNOUNCE_BEATS * self._settings.heartbeat_ms
-        self._runtime.sleep_ms(beats_ms)
-        callers_ended = parts.front.drain(self._settings.drain_ms)
-        parts.kernel.stopping = True
+        components.membership.note_stopping()
+        lent_until_ms = components.kernel.shares.stop_lending()
+        announce_ms = ANNOUNCE_HEARTBEATS * self._settings.heartbeat_ms
+        self._runtime.sleep_ms(announce_ms)
+        callers_ended = components.front.drain(self._settings.drain_ms)
+        components.kernel.stopping = True
         self._end_transactions()
-        peers_ended = parts.server.drain(self._settings.drain_ms)
-        # The others take over this daemon's part, which its loans still belong to.
+        peers_ended = components.server.drain(self._settings.drain_ms)
+        # Once this daemon leaves the roster, the others take over its share, which the
+        # tokens that it has lent still belong to; so its loans have to expire first.
         self._runtime.sleep_ms(lent_until_ms - self._runtime.clock.now_ms())
-        parts.roster.leave()
+        components.roster.leave()
         return callers_ended and peers_ended
 
     def _end_transactions(self) -> None:
         end_ms = self._runtime.clock.now_ms() + self._settings.drain_ms
-        while self.parts.transactions.count():
+        while self.components.transactions.count():
             if self._runtime.clock.now_ms() >= end_ms:
                 return
             self._runtime.sleep_ms(20)
 
 
-def catch_end_signals(runtime: Runtime) -> Signal:
-    """Return what SIGTERM and SIGINT set from now on."""
-    end_wanted = runtime.make_signal()
+def handle_stop_signals(runtime: Runtime) -> Signal:
+    """Install handlers; return the signal that SIGTERM and SIGINT set."""
+    stop_requested = runtime.make_signal()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: end_wanted.set())
-    return end_wanted
+        signal.signal(number, lambda *_: stop_requested.set())
+    return stop_requested
 
 
 def run(settings: DaemonSettings) -> int:
@@ -288,20 +291,20 @@
     log = logs.open_log("daemon")
     runtime = Runtime(task_limit=settings.max_connections * 2 + EXTRA_TASKS)
     runtime.report_failure = lambda text: log.error("A task failed: %s", text)
-    end_wanted = catch_end_signals(runtime)
+    stop_requested = handle_stop_signals(runtime)
     try:
         daemon = Daemon(runtime, settings)
         daemon.start()
     except OSError as error:
         log.error("The daemon can't start: %s.", error)
-        runtime.close(END_MS)
+        runtime.close(CLOSE_DEADLINE_MS)
         return 1
-    end_wanted.wait()
+    stop_requested.wait()
     ended = daemon.stop()
-    runtime.close(END_MS)
+    runtime.close(CLOSE_DEADLINE_MS)
     log.info("The daemon has stopped.", extra={"cut_nothing": ended})
-    # A task stuck in a call of a library would hold up the end of the interpreter,
-    # which joins all tasks; everything that matters has ended.
+    # Interpreter exit joins all threads, so a task stuck in a library call would block
+    # it; all work that matters has ended by now.
     sys.stderr.flush()
     os._exit(0 if ended else 1)
 
--- a/bronzerelay/env.py
+++ b/bronzerelay/env.py
@@ -1,6 +1,6 @@
-"""Facts about the environment that the code runs in."""
+"""Settings of the Python interpreter that daemons and benchmarks use."""
 
-# The interpreter hands the processor on after this time. Its default of 5 ms lets a
-# task that waits for an answer stand behind each busy one for 5 ms; with hundreds of
-# tasks that shows as a long tail.
+# The interpreter's thread switch interval. With the default of 5 ms, a task that has
+# received an answer may wait 5 ms for each busy task before it gets the GIL; with
+# hundreds of tasks this causes a long tail of latencies.
 ADVISED_SWITCH_INTERVAL_S = 0.001
--- a/bronzerelay/loglines.py
+++ b/bronzerelay/loglines.py
@@ -1,4 +1,4 @@
-"""Lines of daemons' logs, read from files."""
+"""Reads lines of daemons' logs from files."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple, TextIO
@@ -17,9 +17,10 @@
 
 
 def read_lines(files: Iterable[TextIO]) -> list[LogLine]:
-    """Return the log lines of all files by time; what is no log line is left out.
+    """Return the log lines of all files sorted by time; skip all other lines.
 
-    Clocks of two VMs may differ: between VMs the order is good to that difference.
+    Clocks of VMs may differ, so between VMs the order is only as accurate as their
+    clocks.
     """
     lines = []
     for file in files:
--- a/bronzerelay/logs.py
+++ b/bronzerelay/logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line for each event, and never a caller's key in it."""
+"""The log: one JSON line per event, with callers' keys redacted."""
 
 import logging
 import re
@@ -13,21 +13,21 @@
 ROOT = "bronzerelay"
 LEVELS = ("debug", "info", "warning", "error")
 DEBUG = logging.DEBUG
-HIDDEN = "[hidden]"
-FIELDS = "{asctime}{levelname}{message}"
-RENAMED = {"asctime": "time", "levelname": "level"}
+REDACTED = "[hidden]"
+RECORD_FORMAT = "{asctime}{levelname}{message}"
+RENAMED_FIELDS = {"asctime": "time", "levelname": "level"}
 BEARER = re.compile(r"(?i)(bearer(?:\s|\\[tnr])+)[^\s\"'\\,;]+")
 AUTHORIZATION = re.compile(
     r"(?i)(authorization[\\\"']*+\s*+[:=][\s\\\"']*+)(?!bearer\s)[^\"',\\]+"
 )
 
-# The key of the request that this task runs now; each task has its own value.
+# The key of the request that the current task is running; each task has its own value.
 _current_key: ContextVar[str] = ContextVar("current_key", default="")
 
 
 @contextmanager
 def hide_key(key: str) -> Iterator[None]:
-    """Keep `key` out of every line that the calling task logs inside the block."""
+    """Redact `key` in every line that the calling task logs inside the block."""
     token = _current_key.set(key)
     try:
         yield
@@ -35,24 +35,24 @@
         _current_key.reset(token)
 
 
-def remove_keys(text: str) -> str:
-    """Return `text` with each bearer key and authorization value taken out."""
+def redact_keys(text: str) -> str:
+    """Return `text` with each bearer key and authorization value redacted."""
     key = _current_key.get()
     if key:
-        text = text.replace(key, HIDDEN)
-    text = BEARER.sub(rf"\1{HIDDEN}", text)
-    return AUTHORIZATION.sub(rf"\1{HIDDEN}", text)
+        text = text.replace(key, REDACTED)
+    text = BEARER.sub(rf"\1{REDACTED}", text)
+    return AUTHORIZATION.sub(rf"\1{REDACTED}", text)
 
 
 class PartFilter(logging.Filter):
-    """Puts the fixed prefix of one part in front of each message."""
+    """Prefixes each message with the name of a part, and sets the field `part`."""
 
     def __init__(self, part: str):
         super().__init__()
         self._part = part
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return True after the record has its prefix and its field `part`."""
+        """Add the prefix and the field `part` to the record; return True."""
         if getattr(record, "part", None) is None:
             record.msg = f"{self._part}: {record.getMessage()}"
             record.args = ()
@@ -60,30 +60,32 @@
         return True
 
 
-class KeylessFormatter(JsonFormatter):
-    """Writes a record as a JSON line without keys."""
+class RedactingFormatter(JsonFormatter):
+    """Formats a record as a JSON line with keys redacted."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line.
 
-        A key can reach a line through its message, a field or the text of an
-        exception, and whoever reads the log could then act as that caller. The
-        filter therefore works on the finished line, where all of these meet.
+        A key can get into a line through its message, a field or the text of an
+        exception, and anybody who reads the log could then act as that caller. Keys
+        are therefore redacted in the complete line, which contains all of these.
         """
-        return remove_keys(super().format(record))
+        return redact_keys(super().format(record))
 
 
 def make_handler(stream: TextIO) -> logging.Handler:
     """Return a handler that writes JSON lines to `stream`."""
     handler = logging.StreamHandler(stream)
-    handler.setFormatter(KeylessFormatter(FIELDS, style="{", rename_fields=RENAMED))
+    handler.setFormatter(
+        RedactingFormatter(RECORD_FORMAT, style="{", rename_fields=RENAMED_FIELDS)
+    )
     return handler
 
 
 def open_log(part: str, stream: TextIO | None = None) -> logging.Logger:
     """Return the logger of a part; without a `stream` it writes to stderr.
 
-    Messages start with the part's name and a colon. Fields go into `extra`.
+    Messages start with the part's name and a colon. Pass fields in `extra`.
     """
     if stream is None:
         logger = logging.getLogger(f"{ROOT}.{part}")
@@ -97,7 +99,7 @@
 
 
 def set_level(level: str) -> None:
-    """Let the loggers to stderr write events of `level` (one of LEVELS) and above."""
+    """Make the loggers to stderr write events of `level` (one of LEVELS) and above."""
     _prepare_root().setLevel(level.upper())
 
 
--- a/bronzerelay/logsummary.py
+++ b/bronzerelay/logsummary.py
@@ -1,4 +1,4 @@
-"""A summary of daemons' logs: what was refused or tried again, and when."""
+"""A summary of daemons' logs: served, refused and retried statements over time."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -7,12 +7,12 @@
 
 from bronzerelay.loglines import LogLine
 
-# What a line is counted under, by the way it is grouped.
+# The ways to group the counts.
 GROUPINGS = ("reason", "workspace", "service", "node")
 REFUSED = "refused"
-TRIED_AGAIN = "tried again"
+RETRIED = "tried again"
 SERVED = "served"
-# Parts and the messages in them that tell what became of a statement.
+# The messages of log lines that report the outcome of a statement or of an attempt.
 REFUSAL_MESSAGE = "session: A caller was refused."
 ATTEMPT_MESSAGES = (
     "runner: A statement was sent.",
@@ -23,7 +23,7 @@
 
 
 class Event(NamedTuple):
-    """One thing that became of a statement."""
+    """The outcome of one statement or attempt, with the group it counts under."""
 
     second: int
     kind: str
@@ -31,32 +31,32 @@
 
 
 class Summary(NamedTuple):
-    """Counts by kind and group, in all and for each interval."""
+    """Counts by kind and group: totals, and for each interval by its start."""
 
     every_s: int
     totals: Counter
     intervals: dict[int, Counter]
-    # Lines that the daemons dropped to keep their logs bounded.
+    # How many lines the daemons dropped to bound the size of their logs.
     dropped: int
 
 
-def read_event(line: LogLine, start_ms: int, grouping: str) -> Event | None:
-    """Return what a line tells of a statement, or None."""
+def read_event(line: LogLine, start_ms: int, group_by: str) -> Event | None:
+    """Return the event that a line reports, or None if it reports none."""
     fields = line.fields
     if line.message == REFUSAL_MESSAGE:
         kind, reason = REFUSED, fields.get("reason", "")
     elif line.message in ATTEMPT_MESSAGES:
         reason = fields.get("outcome", "")
-        kind = SERVED if reason == DONE else TRIED_AGAIN
+        kind = SERVED if reason == DONE else RETRIED
     else:
         return None
     groups = {"reason": reason, "node": line.node}
-    group = groups.get(grouping, fields.get(grouping, ""))
+    group = groups.get(group_by, fields.get(group_by, ""))
     return Event((line.time_ms - start_ms) // 1000, kind, str(group) or "(none)")
 
 
-def summarize(lines: list[LogLine], every_s: int, grouping: str) -> Summary:
-    """Return the summary of lines in order of time."""
+def summarize(lines: list[LogLine], every_s: int, group_by: str) -> Summary:
+    """Return the summary of lines that are sorted by time."""
     totals: Counter = Counter()
     intervals: dict[int, Counter] = {}
     dropped = 0
@@ -64,7 +64,7 @@
     for line in lines:
         if line.message == DROPPED_MESSAGE:
             dropped += line.fields.get("count", 0)
-        event = read_event(line, start_ms, grouping)
+        event = read_event(line, start_ms, group_by)
         if event is None:
             continue
         key = (event.kind, event.group)
@@ -74,10 +74,10 @@
     return Summary(every_s, totals, intervals, dropped)
 
 
-def write_table(summary: Summary, most: int) -> list[str]:
-    """Return the summary for people: totals, then a row an interval.
+def format_table(summary: Summary, max_columns: int) -> list[str]:
+    """Return the lines of a text table: totals, then one row per interval.
 
-    The columns are the `most` frequent of what was refused and tried again.
+    The columns are the `max_columns` most frequent groups of refusals and retries.
     """
     lines = [
         f"{count:8d}  {kind}, {group}"
@@ -85,7 +85,7 @@
     ]
     if summary.dropped:
         lines.append(f"{summary.dropped:8d}  lines dropped by the daemons, not counted")
-    columns = _list_columns(summary, most)
+    columns = _list_columns(summary, max_columns)
     lines.append("")
     lines.append("from second   served  " + "  ".join(group for _, group in columns))
     for begin_s, counts in sorted(summary.intervals.items()):
@@ -95,41 +95,43 @@
     return lines
 
 
-def _list_columns(summary: Summary, most: int) -> list[tuple[str, str]]:
-    return [key for key, _ in summary.totals.most_common() if key[0] != SERVED][:most]
+def _list_columns(summary: Summary, limit: int) -> list[tuple[str, str]]:
+    return [key for key, _ in summary.totals.most_common() if key[0] != SERVED][:limit]
 
 
 def _sum_kind(counts: Counter, kind: str) -> int:
-    return sum(count for (one, _), count in counts.items() if one == kind)
+    return sum(count for (key_kind, _), count in counts.items() if key_kind == kind)
 
 
-def write_plot(summary: Summary, path: Path, most: int) -> None:
-    """Draw what was served, refused and tried again over time into a PNG file.
+def write_plot(summary: Summary, path: Path, max_columns: int) -> None:
+    """Plot the rates of served, refused and retried statements into a PNG file.
 
-    It raises ImportError where matplotlib isn't installed, as on entry VMs.
+    Raise ImportError where matplotlib isn't installed, as on entry VMs.
     """
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10, 5), layout="constrained")
     axes = figure.add_subplot()
-    seconds = sorted(summary.intervals)
+    starts_s = sorted(summary.intervals)
 
-    def count(pick: Callable[[Counter], int]) -> list[float]:
-        return [pick(summary.intervals[one]) / summary.every_s for one in seconds]
+    def rates(count: Callable[[Counter], int]) -> list[float]:
+        return [
+            count(summary.intervals[begin_s]) / summary.every_s for begin_s in starts_s
+        ]
 
-    axes.plot(seconds, count(lambda counts: _sum_kind(counts, SERVED)), label=SERVED)
-    for kind, group in _list_columns(summary, most):
+    axes.plot(starts_s, rates(lambda counts: _sum_kind(counts, SERVED)), label=SERVED)
+    for kind, group in _list_columns(summary, max_columns):
         key = (kind, group)
         label = f"{kind}, {group}"
-        axes.plot(seconds, count(lambda counts, key=key: counts[key]), label=label)
+        axes.plot(starts_s, rates(lambda counts, key=key: counts[key]), label=label)
     axes.set_xlabel("seconds since the first line")
-    axes.set_ylabel("statements a second")
+    axes.set_ylabel("statements per second")
     axes.legend(fontsize="small")
     figure.savefig(path)
 
 
 def describe(summary: Summary) -> dict[str, object]:
-    """Return the summary as JSON shows it."""
+    """Return the summary as JSON data."""
     return {
         "every_s": summary.every_s,
         "dropped_lines": summary.dropped,
--- a/bronzerelay/settings.py
+++ b/bronzerelay/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings, from flags and environment variables."""
+"""The daemon's settings, read from flags and environment variables."""
 
 import re
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 PROGRAM = "bronzerelayd"
 VARIABLE_PREFIX = "BRONZERELAY_"
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-SECRET_BYTES_LEAST = 8
+MIN_SECRET_BYTES = 8
 
 
 class DaemonSettings(NamedTuple):
-    """All settings of a daemon; times are milliseconds, sizes are bytes."""
+    """All settings of a daemon; times are in milliseconds, sizes in bytes."""
 
     name: str
     failure_domain: str
@@ -46,7 +46,7 @@
 
 
 class CheckedType(click.ParamType):
-    """A parameter whose errors always say what is allowed."""
+    """A parameter type whose error messages always say what is allowed."""
 
     def __init__(self, name: str, parse: Callable[[str], Any], allowed: str):
         self.name = name
@@ -56,24 +56,24 @@
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> Any:
-        """Return the parsed value, or end with an error that tells the range."""
+        """Return the parsed value, or fail with an error that says what is allowed."""
         if not isinstance(value, str):
             return value
         try:
             return self._parse(value)
         except ValueError:
-            # The value itself stays out of the message, for it may be a secret.
+            # The message must not contain the value, which may be a secret.
             self.fail(f"The value must be {self._allowed}.", param, ctx)
 
     def get_missing_message(
         self, param: click.Parameter, ctx: click.Context | None = None
     ) -> str:
-        """Return what is allowed, for the error about a missing flag."""
+        """Return what is allowed, for the error message about a missing flag."""
         return f"The value must be {self._allowed}."
 
 
 def make_number_type(lowest: int, highest: int) -> CheckedType:
-    """Return the type of a whole number from `lowest` to `highest`."""
+    """Return a parameter type for whole numbers from `lowest` to `highest`."""
 
     def parse(text: str) -> int:
         number = int(text)
@@ -92,7 +92,7 @@
 
 
 def _parse_secret(text: str) -> str:
-    if len(text.encode()) < SECRET_BYTES_LEAST:
+    if len(text.encode()) < MIN_SECRET_BYTES:
         raise ValueError("too short")
     return text
 
@@ -122,7 +122,7 @@
 ADDRESSES = CheckedType(
     "host:port,...", _parse_addresses, "HOST:PORT, or several with commas between"
 )
-SECRET = CheckedType("secret", _parse_secret, f"{SECRET_BYTES_LEAST} bytes or more")
+SECRET = CheckedType("secret", _parse_secret, f"{MIN_SECRET_BYTES} bytes or more")
 LEVEL = CheckedType("level", _parse_level, "one of " + ", ".join(logs.LEVELS))
 POLICY = CheckedType(
     "policy", _parse_policy, "one of " + ", ".join(registry.names(registry.POLICY))
@@ -132,7 +132,7 @@
 
 
 class Setting(NamedTuple):
-    """One field of DaemonSettings as a flag."""
+    """The flag of one field of DaemonSettings."""
 
     field: str
     type: CheckedType
@@ -142,19 +142,19 @@
 SETTINGS = (
     Setting("name", NAME, "Name of this VM, unique in the fleet."),
     Setting("failure_domain", NAME, "Failure domain of this VM."),
-    Setting("listen", ADDRESS, "Where callers connect."),
-    Setting("peer_listen", ADDRESS, "Where other daemons connect."),
-    Setting("platform", ADDRESSES, "The platform's key-value service."),
+    Setting("listen", ADDRESS, "Address that callers connect to."),
+    Setting("peer_listen", ADDRESS, "Address that other daemons connect to."),
+    Setting("platform", ADDRESSES, "Addresses of the platform's key-value service."),
     Setting("peer_secret", SECRET, "Secret that all daemons share."),
     Setting(
         "seeds",
         ADDRESSES,
-        "Peers to ask for roster and configuration while the platform is out.",
+        "Peers to ask for the roster and configuration while the platform is down.",
     ),
     Setting(
         "max_connections",
         make_number_type(1, 20_000),
-        "Callers' connections at a time; one more is refused.",
+        "Maximum number of callers' connections; further ones are refused.",
     ),
     Setting(
         "max_body_bytes", make_number_type(256, 16_777_216), "Largest request body."
@@ -162,12 +162,12 @@
     Setting(
         "max_header_bytes",
         make_number_type(256, 1_048_576),
-        "Largest request line and headers together.",
+        "Largest size of request line and headers together.",
     ),
     Setting(
         "request_timeout_ms",
         make_number_type(10, HOUR_MS),
-        "Time within which a whole request has to arrive.",
+        "Time within which a complete request has to arrive.",
     ),
     Setting(
         "idle_timeout_ms",
@@ -177,17 +177,17 @@
     Setting(
         "default_deadline_ms",
         make_number_type(1, HOUR_MS),
-        "Time for a statement that states none.",
+        "Deadline of a request that gives none.",
     ),
     Setting(
         "max_deadline_ms",
         make_number_type(1, HOUR_MS),
-        "Longest time that a statement may state.",
+        "Longest deadline that a request may give.",
     ),
     Setting(
         "queue_limit",
         make_number_type(1, 100_000),
-        "Requests of one workspace that may wait for a slot.",
+        "Maximum number of requests of one workspace that wait for a slot.",
     ),
     Setting(
         "heartbeat_ms", make_number_type(10, 60_000), "Time between two heartbeats."
@@ -200,7 +200,7 @@
     Setting(
         "isolation_ms",
         make_number_type(100, 600_000),
-        "Time without platform and peers after which nothing is admitted.",
+        "Time without platform and peers after which requests are refused.",
     ),
     Setting(
         "drain_ms",
@@ -210,7 +210,7 @@
     Setting(
         "status_wait_ms",
         make_number_type(10, 60_000),
-        "Longest wait of one status call to an instance.",
+        "Longest wait for the answer to one status call to an instance.",
     ),
     Setting(
         "statement_timeout_ms",
@@ -219,25 +219,29 @@
     ),
     Setting("tls_certificate", FILE, "Certificate chain (PEM); turns TLS on."),
     Setting("tls_key", FILE, "Private key (PEM) of the certificate."),
-    Setting("log_level", LEVEL, "Least level that is logged."),
-    Setting("policy", POLICY, "naive breaks promises; it is for benchmarks only."),
+    Setting("log_level", LEVEL, "Lowest level that is logged."),
+    Setting(
+        "policy",
+        POLICY,
+        "Policy of the daemon; naive breaks its guarantees and is for benchmarks only.",
+    ),
 )
 
 
-def name_flag(field: str) -> str:
+def format_flag(field: str) -> str:
     """Return the flag of a field."""
     return "--" + field.replace("_", "-")
 
 
-def name_variable(field: str) -> str:
+def format_variable(field: str) -> str:
     """Return the environment variable of a field."""
     return VARIABLE_PREFIX + field.upper()
 
 
 def daemon_command(run: Callable[[DaemonSettings], int]) -> click.Command:
-    """Return the command that reads the settings and exits with what `run` returns.
+    """Return a command that reads the settings and exits with `run`'s exit code.
 
-    A mistake in the settings ends it with exit code 2 before `run` is called.
+    With invalid settings it exits with code 2 and doesn't call `run`.
     """
 
     @click.pass_context
@@ -254,18 +258,18 @@
 
 
 def read_settings(arguments: list[str]) -> DaemonSettings:
-    """Return the settings of flags and environment, or raise click.UsageError."""
+    """Return the settings from flags and environment, or raise click.UsageError."""
     command = daemon_command(lambda settings: 0)
     ctx = command.make_context(PROGRAM, list(arguments))
     return make_settings(ctx.params, ctx)
 
 
 def make_settings(values: dict[str, Any], ctx: click.Context) -> DaemonSettings:
-    """Return the settings after the checks that concern two of them at once."""
+    """Return the settings after checking those that depend on each other."""
     settings = DaemonSettings(**values)
-    _check_order(settings, ctx, "default_deadline_ms", "max_deadline_ms")
-    _check_order(settings, ctx, "heartbeat_ms", "suspect_ms")
-    _check_order(settings, ctx, "suspect_ms", "isolation_ms")
+    _check_at_most(settings, ctx, "default_deadline_ms", "max_deadline_ms")
+    _check_at_most(settings, ctx, "heartbeat_ms", "suspect_ms")
+    _check_at_most(settings, ctx, "suspect_ms", "isolation_ms")
     if bool(settings.tls_certificate) != bool(settings.tls_key):
         raise click.UsageError(
             f"{_describe('tls_certificate')} and {_describe('tls_key')} "
@@ -275,7 +279,7 @@
     return settings
 
 
-def _check_order(
+def _check_at_most(
     settings: DaemonSettings, ctx: click.Context, smaller: str, larger: str
 ) -> None:
     low, high = getattr(settings, smaller), getattr(settings, larger)
@@ -288,7 +292,7 @@
 
 
 def _describe(field: str) -> str:
-    return f"{name_flag(field)} (env var: {name_variable(field)})"
+    return f"{format_flag(field)} (env var: {format_variable(field)})"
 
 
 def _make_option(setting: Setting) -> click.Option:
@@ -297,8 +301,8 @@
     if setting.field in defaults:
         options = {"default": defaults[setting.field], "show_default": True}
     return click.Option(
-        [name_flag(setting.field)],
-        envvar=name_variable(setting.field),
+        [format_flag(setting.field)],
+        envvar=format_variable(setting.field),
         type=setting.type,
         help=setting.help,
         show_envvar=True,
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -268,8 +268,8 @@
     Mutation(
         "the wait for SIGTERM shares no lock with its handler",
         "bronzerelay/daemon.py",
-        "    end_wanted = runtime.make_signal()\n",
-        "    end_wanted = runtime.make_event()\n",
+        "    stop_requested = runtime.make_signal()\n",
+        "    stop_requested = runtime.make_event()\n",
         "tests/test_daemon.py",
     ),
     Mutation(
@@ -398,7 +398,7 @@
     Mutation(
         "a version never goes back",
         "bronzerelay/configuration.py",
-        "if compiled.version <= self._known_version():",
+        "if configuration.version <= self._current_version():",
         "if False:",
         "tests/test_configuration.py::test_a_late_answer_with_an_older_version_changes_nothing",
     ),
@@ -465,14 +465,14 @@
     Mutation(
         "a stop waits for callers' requests",
         "bronzerelay/daemon.py",
-        "parts.front.drain(self._settings.drain_ms)",
+        "components.front.drain(self._settings.drain_ms)",
         "True",
         "tests/test_promise_stopping.py::test_a_rolling_restart_under_load_cuts_no_request",
     ),
     Mutation(
         "a stop waits for peers' requests",
         "bronzerelay/daemon.py",
-        "parts.server.drain(self._settings.drain_ms)",
+        "components.server.drain(self._settings.drain_ms)",
         "True",
         "tests/test_promise_stopping.py::test_a_daemon_that_stops_ends_what_others_forwarded_to_it",
     ),
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bronzerelay.daemon import Daemon, catch_end_signals
+from bronzerelay.daemon import Daemon, handle_stop_signals
 from bronzerelay.runtime import Address, Runtime
 from bronzerelay.settings import DaemonSettings
 from tests.endpoints import open_runtime
@@ -33,7 +33,7 @@
     With an event the handler then waited for a lock that its own task held. The
     daemon went on serving, and neither this SIGTERM nor a later one ended it.
     """
-    end_wanted = catch_end_signals(Runtime(1))
+    stop_requested = handle_stop_signals(Runtime(1))
     steps_left = step
 
     def trace(frame, event, argument):
@@ -47,7 +47,7 @@
     signal.setitimer(signal.ITIMER_REAL, LATE_S)
     sys.settrace(trace)
     try:
-        end_wanted.wait()
+        stop_requested.wait()
     finally:
         sys.settrace(None)
         signal.setitimer(signal.ITIMER_REAL, 0)
@@ -65,7 +65,7 @@
         peer_secret="secret",
     )
     with open_runtime() as runtime:
-        parts = Daemon(runtime, settings).parts
-        for address in (parts.front.address, parts.server.address):
+        components = Daemon(runtime, settings).components
+        for address in (components.front.address, components.server.address):
             with pytest.raises(ConnectionRefusedError):
                 runtime.dial(address, 1000)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bronzerelay.logs import hide_key, open_log, remove_keys
+from bronzerelay.logs import hide_key, open_log, redact_keys
 
 KEY = "br-7Qz.k_3~9+/="
 
@@ -51,7 +51,7 @@
     before it says what it is.
     """
     with hide_key(KEY):
-        assert KEY not in remove_keys(f"no such entry: {KEY!r}")
-    assert remove_keys("plain text, authorization is missing") == (
+        assert KEY not in redact_keys(f"no such entry: {KEY!r}")
+    assert redact_keys("plain text, authorization is missing") == (
         "plain text, authorization is missing"
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,8 @@
     SETTINGS,
     DaemonSettings,
     daemon_command,
-    name_flag,
-    name_variable,
+    format_flag,
+    format_variable,
     read_settings,
 )
 
@@ -27,13 +27,13 @@
 def build_arguments(**changes: str) -> list[str]:
     """Return the flags of valid settings with some changed."""
     values = {**NEEDED, **changes}
-    return [f"{name_flag(field)}={value}" for field, value in values.items()]
+    return [f"{format_flag(field)}={value}" for field, value in values.items()]
 
 
 def test_flags_and_variables_give_the_same_settings(monkeypatch):
     by_flags = read_settings(build_arguments(drain_ms="5", log_level="debug"))
     for field, value in {**NEEDED, "drain_ms": "5", "log_level": "debug"}.items():
-        monkeypatch.setenv(name_variable(field), value)
+        monkeypatch.setenv(format_variable(field), value)
     assert read_settings([]) == by_flags
     assert by_flags.platform == (Address("127.0.0.1", 9000), Address("127.0.0.1", 9001))
     assert (by_flags.drain_ms, by_flags.max_connections) == (5, 400)
@@ -45,7 +45,7 @@
     result = CliRunner().invoke(daemon_command(lambda _: 3), build_arguments())
     assert result.exit_code == 3
     text = CliRunner().invoke(daemon_command(lambda _: 0), ["--help"]).output
-    assert all(name_flag(field) in text for field in DaemonSettings._fields)
+    assert all(format_flag(field) in text for field in DaemonSettings._fields)
 
 
 @pytest.mark.parametrize(
@@ -66,13 +66,13 @@
     """An operator mistypes a setting. A daemon that started all the same would show
     it only under load.
     """
-    values = {name_variable(name): text for name, text in NEEDED.items()}
-    arguments = [] if by_variable else [f"{name_flag(field)}={value}"]
-    values |= {name_variable(field): value} if by_variable else {}
+    values = {format_variable(name): text for name, text in NEEDED.items()}
+    arguments = [] if by_variable else [f"{format_flag(field)}={value}"]
+    values |= {format_variable(field): value} if by_variable else {}
     command = daemon_command(lambda _: pytest.fail("it ran"))
     result = CliRunner().invoke(command, arguments, env=values)
     assert result.exit_code == 2
-    for part in (name_flag(field), name_variable(field), allowed):
+    for part in (format_flag(field), format_variable(field), allowed):
         assert part in result.output
     assert field != "peer_secret" or value not in result.output
 
@@ -97,5 +97,5 @@
         read_settings(build_arguments(**changes))
     assert caught.value.exit_code == 2
     (field,) = changes
-    assert name_flag(field) in str(caught.value)
-    assert name_variable(field) in str(caught.value)
+    assert format_flag(field) in str(caught.value)
+    assert format_variable(field) in str(caught.value)
