--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -474,7 +474,7 @@
         "bronzerelay/daemon.py",
         "components.server.drain(self._settings.drain_ms)",
         "True",
-        "tests/test_promise_stopping.py::test_a_daemon_that_stops_ends_what_others_forwarded_to_it",
+        "tests/test_promise_stopping.py::test_a_stopping_daemon_finishes_forwarded_requests",
     ),
     Mutation(
         "a group is shown by the daemon that serves it",
--- a/tests/builders_front.py
+++ b/tests/builders_front.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the front: a running front, callers, certificates."""
+"""Helpers for tests of the front: a running front, callers, certificates."""
 
 import contextlib
 import datetime
@@ -23,7 +23,7 @@
 
 
 class ReceivedAnswer(NamedTuple):
-    """An answer as a caller got it."""
+    """An answer as received by a caller."""
 
     status: int
     headers: dict[str, str]
@@ -41,23 +41,23 @@
     def __init__(self, connection: Connection):
         connection.set_timeout(TIMEOUT_MS)
         self.connection = connection
-        self._rest = b""
+        self._buffer = b""
 
     def send(self, data: bytes) -> None:
         """Send raw bytes."""
         self.connection.send(data)
 
     def read_answer(self) -> ReceivedAnswer:
-        """Return the next answer; raise OSError when none comes whole."""
-        while b"\r\n\r\n" not in self._rest:
+        """Return the next answer; raise OSError when it doesn't arrive completely."""
+        while b"\r\n\r\n" not in self._buffer:
             self._receive()
-        head, _, self._rest = self._rest.partition(b"\r\n\r\n")
+        head, _, self._buffer = self._buffer.partition(b"\r\n\r\n")
         first, *lines = head.decode().split("\r\n")
         headers = dict(line.lower().split(": ", 1) for line in lines)
         length = int(headers.get("content-length", 0))
-        while len(self._rest) < length:
+        while len(self._buffer) < length:
             self._receive()
-        body, self._rest = self._rest[:length], self._rest[length:]
+        body, self._buffer = self._buffer[:length], self._buffer[length:]
         return ReceivedAnswer(int(first.split()[1]), headers, body)
 
     def ask(self, data: bytes) -> ReceivedAnswer:
@@ -70,18 +70,18 @@
         while True:
             data = self.connection.receive()
             if not data:
-                return self._rest
-            self._rest += data
+                return self._buffer
+            self._buffer += data
 
     def _receive(self) -> None:
         data = self.connection.receive()
         if not data:
-            raise ConnectionResetError(f"cut after {self._rest!r}")
-        self._rest += data
+            raise ConnectionResetError(f"cut after {self._buffer!r}")
+        self._buffer += data
 
 
 class RunningFront(NamedTuple):
-    """A front on a port of its own, with what it logs."""
+    """A front on its own port, with its log output."""
 
     runtime: Runtime
     front: HttpFront
@@ -89,18 +89,18 @@
     log: io.StringIO
 
     def call(self, **options: Any) -> Caller:
-        """Return a new caller."""
+        """Return a new caller, connected to the front."""
         dial = self.runtime.dial
         return Caller(dial(self.front.address, TIMEOUT_MS, **options))
 
 
-def answer_row(workspace: str, key: str, request: dict, request_id: str):
-    """Answer the row that was asked for."""
+def answer_with_row(workspace: str, key: str, request: dict, request_id: str):
+    """Return the requested row's name as its value."""
     return Ok({"value": request["statement"]["row"]})
 
 
 @contextlib.contextmanager
-def run_front(run_statement=answer_row, runtime=None, **settings):
+def run_front(run_statement=answer_with_row, runtime=None, **settings):
     """Run a front until the block ends."""
     runtime = runtime or Runtime(task_limit=64)
     metrics, log = Metrics(runtime), io.StringIO()
@@ -151,8 +151,8 @@
     return str(folder / "cert.pem"), str(folder / "key.pem")
 
 
-def trusting_nobody() -> ssl.SSLContext:
-    """Return a caller's context that takes any certificate."""
+def make_tls_context() -> ssl.SSLContext:
+    """Return a caller's TLS context that accepts any certificate."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
 
 
 def read_known_red():
-    """Return the lines of the tests that fail for a known, open fault, by test."""
+    """Return the entries of KNOWN-RED.txt, by the id of their test."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -33,7 +33,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let the run pass over a failure of a listed test, and of no other."""
+    """Mark the listed tests, and no others, as expected failures."""
     known = read_known_red()
     for item in items:
         line = known.get(item.nodeid.partition("[")[0])
@@ -42,6 +42,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print what the run passes over."""
+    """Print the tests whose failures are ignored."""
     for line in read_known_red().values():
         terminalreporter.write_line(f"KNOWN-RED: {line}")
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""Tests of the result codes and of the page that lists them."""
+"""Tests of the result codes and of the page that documents them."""
 
 import pathlib
 import re
@@ -10,9 +10,9 @@
 ROW = re.compile(r"\| (\d+) \| `(\w+)` \| (\d+) \| `(\w+)` \| (.+) \|")
 
 
-def test_the_page_lists_what_the_code_says():
-    """Somebody adds or changes a code and leaves the page as it was. Callers who
-    programmed by the page would treat a refusal wrongly.
+def test_the_page_lists_every_code_as_defined():
+    """Guards against a code that was added or changed without its documentation, which
+    callers rely on to handle refusals.
     """
     rows = [ROW.fullmatch(line) for line in PAGE.read_text().splitlines()]
     listed = [row.groups() for row in rows if row]
@@ -31,6 +31,6 @@
         assert entry.advice.endswith(".")
 
 
-def test_a_refusal_takes_what_ran_from_its_code_unless_told():
+def test_ran_defaults_to_that_of_the_code():
     assert refuse(Code.RATE_EXCEEDED, "Too many.").error.ran == NOT_RUN
     assert refuse(Code.RATE_EXCEEDED, "Too many.", ran=UNKNOWN).error.ran == UNKNOWN
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration in force at one daemon."""
+"""Tests of the configuration in force at a daemon."""
 
 from bronzerelay.codes import Code
 from bronzerelay.configuration import ConfigurationStore
@@ -6,7 +6,7 @@
 from tests.builders_config import make_bundle, make_group, make_record, make_workspace
 
 
-def record_with(version, *keys):
+def make_shop_record(version, *keys):
     workspace = make_workspace("shop", *keys, groups=["orders"])
     groups = [make_group("orders", 9001)]
     return make_record(make_bundle(version, groups=groups, workspaces=[workspace]))
@@ -14,31 +14,34 @@
 
 def open_store():
     store = ConfigurationStore(Runtime(task_limit=1))
-    seen = []
-    store.call_on_change(lambda configuration: seen.append(configuration.version))
-    return store, seen
+    versions = []
+    store.call_on_change(lambda configuration: versions.append(configuration.version))
+    return store, versions
 
 
 def test_a_late_answer_with_an_older_version_changes_nothing():
-    """A watch was held up on its way, and its answer comes after that of a later one.
-    Taken at its word it would bring a withdrawn key back.
+    """Guards against a withdrawn key that works again: the delayed answer to an old
+    watch arrives after that to a newer one.
     """
-    store, seen = open_store()
-    assert store.accept(record_with(2, "new"))
-    assert not store.accept(record_with(1, "old"))
-    assert not store.accept(record_with(2, "old"))
+    store, versions = open_store()
+    assert store.accept(make_shop_record(2, "new"))
+    assert not store.accept(make_shop_record(1, "old"))
+    assert not store.accept(make_shop_record(2, "old"))
     assert store.check_key("shop", "new").is_ok()
     assert store.check_key("shop", "old").error.code == Code.KEY_REJECTED
-    assert seen == [2]
+    assert versions == [2]
 
 
-def test_a_record_whose_digest_is_another_ones_is_not_taken():
-    """A record was changed or cut on its way between two daemons."""
-    store, seen = open_store()
-    record = {**record_with(3, "key"), "digest": record_with(4, "key")["digest"]}
+def test_a_record_with_a_wrong_digest_is_not_accepted():
+    """Guards against a record that was changed or truncated between two daemons."""
+    store, versions = open_store()
+    record = {
+        **make_shop_record(3, "key"),
+        "digest": make_shop_record(4, "key")["digest"],
+    }
     assert not store.accept(record)
     assert store.version == 0
-    assert seen == []
+    assert versions == []
 
 
 def test_a_key_of_another_workspace_is_refused():
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of the daemon's main."""
+"""Tests of the daemon's main module."""
 
 import signal
 import sys
@@ -11,12 +11,12 @@
 from tests.endpoints import open_runtime
 
 STEPS = 60
-LATE_S = 0.1
+ALARM_DELAY_S = 0.1
 
 
 @pytest.fixture
-def handlers():
-    """Put the signals' handlers back after the test."""
+def signal_handlers():
+    """Make SIGALRM raise SIGTERM, and restore the signal handlers after the test."""
     numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGALRM)
     before = {number: signal.getsignal(number) for number in numbers}
     signal.signal(signal.SIGALRM, lambda *_: signal.raise_signal(signal.SIGTERM))
@@ -27,11 +27,11 @@
 
 @pytest.mark.parametrize("step", range(1, STEPS))
 @pytest.mark.timeout(10, method="thread")
-def test_a_signal_at_any_moment_of_the_wait_ends_it(handlers, step):
-    """SIGTERM comes at the very moment at which the daemon begins to wait for it.
+def test_a_signal_at_any_moment_of_the_wait_ends_it(signal_handlers, step):
+    """SIGTERM arrives at the moment at which the daemon starts to wait for it.
 
-    With an event the handler then waited for a lock that its own task held. The
-    daemon went on serving, and neither this SIGTERM nor a later one ended it.
+    With `threading.Event` the handler deadlocked on a lock that its own thread held:
+    the daemon kept serving, and neither this SIGTERM nor a later one stopped it.
     """
     stop_requested = handle_stop_signals(Runtime(1))
     steps_left = step
@@ -43,8 +43,8 @@
             signal.raise_signal(signal.SIGTERM)
         return trace
 
-    # A wait with fewer steps than that gets its signal while it sleeps.
-    signal.setitimer(signal.ITIMER_REAL, LATE_S)
+    # If the wait has fewer steps, SIGALRM interrupts it while it sleeps.
+    signal.setitimer(signal.ITIMER_REAL, ALARM_DELAY_S)
     sys.settrace(trace)
     try:
         stop_requested.wait()
@@ -54,14 +54,14 @@
 
 
 def test_a_daemon_that_is_starting_refuses_callers_and_peers():
-    """Guards against connections that hang in a process that doesn't answer yet."""
-    here = Address("127.0.0.1", 0)
+    """Guards against connections that hang because the process can't answer yet."""
+    any_port = Address("127.0.0.1", 0)
     settings = DaemonSettings(
         name="vm-1",
         failure_domain="a",
-        listen=here,
-        peer_listen=here,
-        platform=(here,),
+        listen=any_port,
+        peer_listen=any_port,
+        platform=(any_port,),
         peer_secret="secret",
     )
     with open_runtime() as runtime:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -16,16 +16,16 @@
 
 
 def assert_refused(answer, code: Code) -> None:
-    """Check that an answer is a whole refusal with this code, and not run."""
+    """Check that an answer is a complete refusal with this code, and did not run."""
     assert answer.json["code"] == code
     assert answer.json["ran"] == "not_run"
     assert answer.json["request_id"] == answer.headers["x-request-id"]
 
 
 @pytest.mark.parametrize("part", [build_request()[:30], build_request()[:-3]])
-def test_a_slow_sender_is_told_so(part):
-    """A caller's network stalls in the middle of a request. Its connection would be
-    held for ever, and with enough of them nobody else gets one.
+def test_a_slow_sender_is_refused(part):
+    """Guards against connections that stay open forever because their caller stalled in
+    the middle of a request; they would use up the connection limit.
     """
     with run_front(request_timeout_ms=50) as running:
         caller = running.call()
@@ -35,9 +35,9 @@
         assert caller.read_to_end() == b""
 
 
-def test_an_idle_connection_is_closed_with_a_word():
-    """A pooled connection is unused for long. Its caller may send a request at the
-    moment of the close, and must be able to read that it did not run.
+def test_an_idle_connection_gets_a_refusal_before_it_is_closed():
+    """Guards against an idle connection that is closed without an answer: a caller may
+    send a request at that moment and has to learn that it did not run.
     """
     with run_front(idle_timeout_ms=50) as running:
         caller = running.call()
@@ -67,10 +67,10 @@
         ),
     ],
 )
-def test_what_is_too_large_or_malformed_is_refused_before_it_is_read(data, code):
-    """A faulty or hostile caller sends without end, or what two HTTP parsers would
-    read in two ways. The daemon's memory would fill, or one caller's bytes would be
-    taken for another's request.
+def test_an_oversized_or_malformed_request_is_refused(data, code):
+    """Guards against endless input that fills the daemon's memory, and against request
+    smuggling: input that two HTTP parsers read differently, so that one caller's bytes
+    are taken for another's request.
     """
     limits = {"max_header_bytes": 512, "max_body_bytes": 512}
     with run_front(**limits) as running:
@@ -82,17 +82,17 @@
 
 
 def test_a_caller_can_send_its_whole_body_and_still_read_that_it_is_too_large():
-    """A client reads the answer only after it has sent all. A connection closed
-    with bytes unread is reset, and the caller sees a broken pipe in place of 413.
+    """Guards against a reset of the connection: many clients read the answer only after
+    they have sent the whole body, and would see a broken pipe instead of 413.
     """
     with run_front(max_body_bytes=512) as running:
         answer = running.call().ask(build_request(body=b"a" * 20_000_000))
         assert_refused(answer, Code.BODY_TOO_LARGE)
 
 
-def test_a_connection_over_the_limit_gets_a_refusal_with_a_time():
-    """More callers connect than the daemon has tasks for. One over the limit must
-    not wait in silence until its own timeout.
+def test_a_connection_over_the_limit_gets_a_refusal_with_retry_after():
+    """Guards against a connection over the limit that gets no answer until its caller's
+    own timeout.
     """
     with run_front(max_connections=2) as running:
         held = [running.call() for _ in range(2)]
@@ -105,8 +105,8 @@
         wait_until(running, lambda: running.call().ask(HEALTH).status == 200)
 
 
-def test_a_connection_without_a_free_task_is_refused_as_well():
-    """Other work of the daemon has taken the tasks that callers count on."""
+def test_a_connection_without_a_free_task_is_refused():
+    """The runtime has no free task although the connection limit isn't reached."""
     with run_front(runtime=Runtime(task_limit=3)) as running:
         held = running.call()
         assert held.ask(HEALTH).status == 200
@@ -123,8 +123,8 @@
 
 
 def test_a_drain_under_load_cuts_no_request():
-    """The daemon is replaced while callers send one request after another. Each
-    request that was sent has to get its own whole answer.
+    """The daemon drains while callers keep sending requests. Each request that was sent
+    has to get its own complete answer.
     """
     answered = []
 
@@ -132,7 +132,7 @@
         running.runtime.sleep_ms(2)
         return Ok({"value": request["statement"]["row"]})
 
-    def send_until_told_to_go(name):
+    def send_until_closed(name):
         caller, number = running.call(), 0
         while True:
             row = f"{name}-{number}"
@@ -150,7 +150,7 @@
     with run_front(run_slowly) as running:
         idle = running.call()
         assert idle.ask(HEALTH).status == 200
-        tasks = [running.runtime.start(send_until_told_to_go, n) for n in range(8)]
+        tasks = [running.runtime.start(send_until_closed, n) for n in range(8)]
         wait_until(running, lambda: len(answered) > 50)
         drained = running.runtime.start(running.front.drain, 5000)
         wait_until(running, lambda: running.front._draining)
@@ -161,19 +161,19 @@
 
 
 def test_a_drain_of_many_connections_wakes_a_few_at_a_time(monkeypatch):
-    """A daemon with thousands of idle connections is replaced. Were all their tasks
-    woken by one signal, they would fight for the interpreter until the drain's
-    deadline has passed, and requests would be cut.
+    """Guards against a drain that wakes thousands of idle connections at once: their
+    tasks would contend for the GIL until the drain's deadline has passed, and requests
+    would be cut.
     """
     count, waiting = 200, {}
     wait_readable = Connection.wait_readable
 
-    def note_signal(connection, timeout_ms, signal=None):
+    def record_signal(connection, timeout_ms, signal=None):
         if signal is not None:
             waiting[connection] = signal
         return wait_readable(connection, timeout_ms, signal)
 
-    monkeypatch.setattr(Connection, "wait_readable", note_signal)
+    monkeypatch.setattr(Connection, "wait_readable", record_signal)
     runtime = Runtime(task_limit=count + 20)
     with run_front(runtime=runtime, max_connections=count) as running:
         callers = [running.call() for _ in range(count)]
@@ -188,9 +188,9 @@
     assert min(shared.values()) <= 2
 
 
-def test_a_drain_answers_what_runs_and_gives_up_at_its_deadline():
-    """A statement takes longer than the drain may. Whoever stops the daemon needs
-    to know that something still runs, and the caller still gets its answer.
+def test_a_drain_answers_running_requests_and_ends_at_its_deadline():
+    """A statement takes longer than the drain's deadline. The drain has to report that
+    a request is still running, and the caller still gets its answer.
     """
     with run_front(lambda *_: go_on.wait() and Ok({})) as running:
         go_on = running.runtime.make_event()
@@ -207,9 +207,9 @@
         assert running.front.drain(5000)
 
 
-def test_a_caller_that_leaves_early_leaves_no_traceback():
-    """A till loses its network while its refund runs. The answer finds nobody, and
-    the daemon serves on.
+def test_a_caller_that_disconnects_early_causes_no_traceback():
+    """A caller disconnects while its request is running, so that the answer can't be
+    sent. The daemon has to keep serving.
     """
     with run_front(lambda *_: go_on.wait() and Ok({"value": "a" * 10**6})) as running:
         go_on = running.runtime.make_event()
@@ -224,8 +224,8 @@
 
 
 def test_pipelined_requests_get_their_own_answers_in_order():
-    """A caller sends several requests without waiting, in pieces that end anywhere.
-    An answer given to the wrong one would show a till another shop's refund.
+    """A caller pipelines several requests, in pieces that end at arbitrary bytes. Each
+    answer has to belong to its request.
     """
     rows = [f"row-{number}" for number in range(20)]
     data = b"".join(build_request(row, f"X-Request-Id: {row}\r\n") for row in rows)
@@ -240,8 +240,8 @@
         assert_refused(caller.read_answer(), Code.MALFORMED_REQUEST)
 
 
-def test_a_fault_in_a_handler_is_told_and_logged_without_the_key():
-    """A mistake in the daemon's own code raises, and its text holds the key."""
+def test_an_exception_in_a_handler_is_answered_and_logged_without_the_key():
+    """A handler raises an exception whose text contains the caller's key."""
 
     def fail(workspace, key, request, request_id):
         raise KeyError(key)
@@ -260,9 +260,9 @@
 
 
 @pytest.mark.parametrize("sent", ["", "a b", "a" * 65, f"x-{KEY}"])
-def test_an_unfit_request_id_is_replaced(sent):
-    """A caller puts anything into the header, even its key, and it would go into
-    the logs.
+def test_an_invalid_request_id_is_replaced(sent):
+    """Guards against arbitrary text, or even the caller's key, in the logs: the request
+    id comes from a header of the caller.
     """
     with run_front() as running:
         answer = running.call().ask(build_request(headers=f"X-Request-Id: {sent}\r\n"))
@@ -296,7 +296,7 @@
         assert caller.read_to_end().count(b'{"alive":true}') == 1
 
 
-def test_a_body_is_asked_for_and_may_come_in_chunks():
+def test_expect_continue_and_chunked_bodies_work():
     whole = build_request("b")
     head, _, body = whole.partition(b"\r\n\r\n")
     head = head.rpartition(b"\r\n")[0] + b"\r\nTransfer-Encoding: chunked"
@@ -316,8 +316,8 @@
 
 
 def test_any_bytes_get_an_answer_or_a_close():
-    """Something that is no HTTP client at all connects: a port scanner, another
-    protocol, a client with a fault. The next caller must not notice.
+    """Something other than an HTTP client connects: a port scanner, another protocol or
+    a faulty client. The next caller must not be affected.
     """
     with run_front(max_header_bytes=512, max_body_bytes=512) as running:
 
--- a/tests/test_logcommands.py
+++ b/tests/test_logcommands.py
@@ -1,4 +1,4 @@
-"""The commands that read daemons' logs."""
+"""Tests of the commands that read daemons' logs."""
 
 import json
 
@@ -29,11 +29,11 @@
 
 
 class TestStory:
-    def test_request_with_what_was_believed_around_it(self):
+    def test_request_with_context_lines(self):
         story = select_story(read_lines([LOG]), "r1")
         assert [line.time_ms for line in story] == [1000, 2000, 2500, 3000]
 
-    def test_lines_are_in_order_over_files(self):
+    def test_lines_of_several_files_are_sorted_by_time(self):
         lines = read_lines([LOG[4:6], LOG[:4]])
         assert [line.time_ms for line in lines] == sorted(
             line.time_ms for line in lines
@@ -78,7 +78,7 @@
     return json.dumps({**line, "message": "runner: A statement was sent."})
 
 
-DAY = [
+OUTCOME_LOG = [
     make_attempt(1000, "done", workspace="north"),
     make_refusal(1500, "rate_exceeded", workspace="north"),
     make_attempt(4100, "busy", workspace="south"),
@@ -88,28 +88,28 @@
 
 class TestSummary:
     def test_counts_by_reason_and_interval(self):
-        found = summarize(read_lines([DAY]), 2, "reason")
-        assert found.totals == {
+        summary = summarize(read_lines([OUTCOME_LOG]), 2, "reason")
+        assert summary.totals == {
             ("served", "done"): 1,
             ("refused", "rate_exceeded"): 2,
             ("tried again", "busy"): 1,
         }
-        assert sorted(found.intervals) == [0, 2]
-        assert found.intervals[2][("refused", "rate_exceeded")] == 1
+        assert sorted(summary.intervals) == [0, 2]
+        assert summary.intervals[2][("refused", "rate_exceeded")] == 1
 
     def test_counts_by_workspace(self):
-        found = summarize(read_lines([DAY]), 2, "workspace")
-        assert found.totals[("refused", "north")] == 1
-        assert found.totals[("tried again", "south")] == 1
+        summary = summarize(read_lines([OUTCOME_LOG]), 2, "workspace")
+        assert summary.totals[("refused", "north")] == 1
+        assert summary.totals[("tried again", "south")] == 1
 
-    def test_dropped_lines_are_told(self):
-        lines = [*DAY, make_line(5000, part="log", count=7)]
+    def test_dropped_lines_are_counted(self):
+        lines = [*OUTCOME_LOG, make_line(5000, part="log", count=7)]
         lines[-1] = lines[-1].replace("log: Something.", "log: Lines were dropped.")
         assert summarize(read_lines([lines]), 2, "reason").dropped == 7
 
-    def test_command_prints_a_table_and_draws_it(self, tmp_path):
+    def test_command_prints_a_table_and_plots_it(self, tmp_path):
         path, plot = tmp_path / "d1.log", tmp_path / "day.png"
-        path.write_text("\n".join(DAY))
+        path.write_text("\n".join(OUTCOME_LOG))
         arguments = ["summary", "--plot", str(plot), str(path)]
         result = CliRunner().invoke(main, arguments)
         assert result.exit_code == 0, result.output
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 KEY = "br-7Qz.k_3~9+/="
 
 
-def test_an_event_is_one_line_with_the_prefix_of_its_part():
+def test_an_event_is_one_line_prefixed_with_its_part():
     stream = io.StringIO()
     open_log("pool", stream).warning("A link\nis %s.", "closed", extra={"endpoint": 1})
     open_log("pool", stream).info("Another one.")
@@ -30,9 +30,9 @@
         json.dumps({"authorization": KEY}),
     ],
 )
-def test_no_way_of_logging_a_header_writes_its_key(text):
-    """Somebody logs a caller's headers while looking for a fault. Whoever reads the
-    log could then send statements as that caller.
+def test_a_logged_header_never_contains_its_key(text):
+    """Guards against a key in the log when a caller's headers are logged for debugging:
+    anybody who reads the log could then send statements as that caller.
     """
     stream = io.StringIO()
     log = open_log("front", stream)
@@ -46,9 +46,9 @@
     assert all(json.loads(line) for line in stream.getvalue().splitlines())
 
 
-def test_the_key_of_the_running_request_is_hidden_wherever_it_stands():
-    """A library puts the bare key into the text of its exception, where no word
-    before it says what it is.
+def test_the_key_of_the_running_request_is_redacted_anywhere():
+    """A library puts the bare key into the text of its exception, without a prefix such
+    as "Bearer" that identifies it.
     """
     with hide_key(KEY):
         assert KEY not in redact_keys(f"no such entry: {KEY!r}")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the counters and latencies."""
+"""Tests of counters, gauges and latencies."""
 
 from prometheus_client.parser import text_string_to_metric_families
 
@@ -8,16 +8,14 @@
 
 
 def read_samples(metrics: Metrics) -> dict[tuple, float]:
-    """Return the page as name and label values to value."""
+    """Return the samples of the page, by name and label values."""
     families = text_string_to_metric_families(metrics.render().decode())
     samples = (sample for family in families for sample in family.samples)
     return {(s.name, *sorted(s.labels.values())): s.value for s in samples}
 
 
 def test_counts_from_many_tasks_are_complete():
-    """Tasks count at the same moment. A count lost between two of them would hide
-    refusals from the operators.
-    """
+    """Guards against lost updates when several tasks count at the same time."""
     runtime = Runtime(task_limit=8)
     metrics = Metrics(runtime)
 
@@ -44,7 +42,7 @@
     assert runtime.close(1000)
 
 
-def test_gauges_and_latencies_out_of_range():
+def test_gauges_and_out_of_range_latencies():
     metrics = Metrics(Runtime(1))
     metrics.set_gauge("connections", 4)
     metrics.set_gauge("connections", 3)
@@ -56,9 +54,9 @@
     assert samples["bronzerelay_connections",] == 3
 
 
-def test_invented_names_stop_making_new_labels():
-    """A caller sends a new workspace name with each request. Without a bound the
-    daemon's memory and its page of counters would grow for ever.
+def test_invented_names_add_labels_only_up_to_the_limit():
+    """A caller sends a new workspace name with each request. Without a limit, the
+    daemon's memory and its /metrics page would grow without bound.
     """
     metrics = Metrics(Runtime(1))
     for number in range(LABEL_LIMIT + 50):
--- a/tests/test_promise_stopping.py
+++ b/tests/test_promise_stopping.py
@@ -1,4 +1,4 @@
-"""The promise that a planned stop cuts no request, on real processes."""
+"""Tests, with real processes, that a planned stop cuts no request."""
 
 import pytest
 
@@ -49,22 +49,22 @@
 
 
 def test_a_rolling_restart_under_load_cuts_no_request(cluster):
-    """All daemons are replaced, one after the other, while callers write and read
-    through all of them; a daemon that stops is forwarding requests of its own and
-    serving those of others. A request cut then is one whose caller doesn't know whether
-    the order was placed.
+    """All daemons are restarted, one after the other, while callers write and read
+    through all of them. A stopping daemon is forwarding requests to others and running
+    requests that others forwarded to it. If one of these is cut, its caller doesn't
+    know whether its write was applied.
     """
     load = start_load(cluster, 15_000)
     cluster.runtime.clock.sleep_ms(500)
     codes = []
-    away = {}
+    unavailable = {}
     now_ms = cluster.runtime.clock.now_ms
     for name in cluster.daemon_names:
         stopped_ms = now_ms()
         codes.append(cluster.stop(name))
         cluster.start(name)
         cluster.wait_ready(names=[name])
-        away[name] = (stopped_ms, now_ms())
+        unavailable[name] = (stopped_ms, now_ms())
     load.stop()
     record = load.wait()
     assert codes == [0] * len(cluster.daemon_names)
@@ -73,33 +73,41 @@
     assert [entry for entry in record if entry.ran == UNKNOWN] == []
     assert not run_checks(record, cluster.collect_evidence())
     refused = [entry for entry in record if entry.was_answered and entry.ran != RAN]
-    # The load doesn't ask for readiness, as a balancer does before it sends.
-    wrongly = [entry for entry in refused if not is_away(entry, *away[entry.daemon])]
-    assert [(entry.daemon, entry.code, entry.message) for entry in wrongly] == []
+    # The load doesn't check readiness before it sends, as a load balancer does.
+    unexpected = [
+        entry
+        for entry in refused
+        if not is_expected_refusal(entry, *unavailable[entry.daemon])
+    ]
+    assert [(entry.daemon, entry.code, entry.message) for entry in unexpected] == []
 
 
-def is_away(entry, stopped_ms, ready_ms):
-    """Return whether a daemon that wasn't ready refused, and said so."""
-    in_time = stopped_ms <= entry.sent_ms <= ready_ms
-    return in_time and entry.code in (Code.STOPPING, Code.NO_CONFIGURATION)
+def is_expected_refusal(entry, stopped_ms, ready_ms):
+    """Return whether a daemon refused because it was stopping or not ready yet."""
+    while_unavailable = stopped_ms <= entry.sent_ms <= ready_ms
+    return while_unavailable and entry.code in (Code.STOPPING, Code.NO_CONFIGURATION)
 
 
-def test_a_daemon_that_stops_ends_what_others_forwarded_to_it():
+def test_a_stopping_daemon_finishes_forwarded_requests():
     """A daemon gets SIGTERM while it runs slow writes that other daemons forwarded to
-    it. Cut, their callers would not know whether their orders were placed.
+    it. If it cut them, their callers would not know whether they were applied.
     """
     runtime = Runtime(task_limit=100)
     layout = LAYOUT._replace(service_ms=1500, groups=("orders",), daemons=3)
     flags = ["--statement-timeout-ms", "4000", "--default-deadline-ms", "8000"]
     with Cluster(runtime, layout, daemon_flags=flags) as cluster:
         cluster.wait_ready(cluster.put_bundle())
-        cluster.wait_until(lambda: find_home(cluster), "a daemon to serve the group")
-        home = find_home(cluster)
+        cluster.wait_until(
+            lambda: find_serving_daemon(cluster), "a daemon to serve the group"
+        )
+        serving_daemon = find_serving_daemon(cluster)
         daemons = {name: cluster.addresses[name] for name in cluster.daemon_names}
         links = LinkPool(runtime, daemons)
         settings = CallerSettings("shop/1", "shop", cluster.keys["shop"])
         callers = {
-            name: Caller(runtime, settings, links) for name in daemons if name != home
+            name: Caller(runtime, settings, links)
+            for name in daemons
+            if name != serving_daemon
         }
         write = {"verb": "append", "row": "shop/list-1", "value": "one"}
         tasks = [
@@ -107,7 +115,7 @@
             for name, caller in callers.items()
         ]
         runtime.clock.sleep_ms(300)
-        code = cluster.stop(home)
+        code = cluster.stop(serving_daemon)
         entries = [task.result() for task in tasks]
         links.close()
     runtime.close(1000)
@@ -116,8 +124,8 @@
     assert max(entry.latency_ms for entry in entries) < 3000
 
 
-def find_home(cluster):
-    """Return the daemon that serves the first group, or an empty text."""
+def find_serving_daemon(cluster):
+    """Return the daemon that serves the first group, or an empty string."""
     for name in cluster.daemon_names:
         if cluster.groups[0] in cluster.fetch_status(name)["groups"]:
             return name
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""The seam to the outside world."""
+"""Tests of the runtime."""
 
 import signal
 import socket
@@ -17,10 +17,10 @@
 
 
 class TestSilentConnections:
-    def test_connection_that_falls_silent_ends_within_seconds(self, runtime):
-        # All daemons' connections to the platform's store fall silent at once, without
-        # a reset. Each waits on its watch until that times out, and a key that is
-        # withdrawn meanwhile goes on working for many seconds.
+    def test_silent_connection_fails_within_seconds(self, runtime):
+        # Guards against withdrawn keys that work for many seconds longer: when the
+        # daemons' connections to the platform go silent without a reset, each waits
+        # until its watch times out.
         listener = runtime.listen(Address(LOCAL, 0))
         connection = runtime.dial(listener.address, 1000)
 
@@ -37,8 +37,8 @@
         listener.close()
 
 
-HOLD_UP_S = 0.05
-LATE_S = 2.0
+DELIVERY_DELAY_S = 0.05
+FALLBACK_DELAY_S = 2.0
 
 
 @pytest.fixture
@@ -49,35 +49,37 @@
 
 
 class TestSignal:
-    def test_a_signal_that_interrupts_no_wait_ends_it_all_the_same(
+    def test_a_signal_delivered_to_another_thread_ends_the_wait(
         self, runtime, usr1_handler
     ):
-        """Guards against a SIGTERM that is never heeded, so that requests are cut."""
+        """Guards against a SIGTERM that is ignored until the process is killed, which
+        cuts requests.
+        """
         wanted = runtime.make_signal()
         usr1_handler(wanted.set)
         main = threading.main_thread().ident
         ended = threading.Event()
 
         def deliver():
-            time.sleep(HOLD_UP_S)
-            # To this thread: the wait of the main one is not interrupted.
+            time.sleep(DELIVERY_DELAY_S)
+            # Sent to this thread, so that the main thread's wait isn't interrupted.
             signal.pthread_kill(threading.get_ident(), signal.SIGUSR1)
-            if not ended.wait(LATE_S):
+            if not ended.wait(FALLBACK_DELAY_S):
                 signal.pthread_kill(main, signal.SIGUSR1)
 
         thread = threading.Thread(target=deliver)
         thread.start()
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         wanted.wait()
-        took_s = time.monotonic() - begun_s
+        took_s = time.monotonic() - started_s
         ended.set()
         thread.join()
-        assert took_s < LATE_S / 2
+        assert took_s < FALLBACK_DELAY_S / 2
 
 
 class TestListener:
     def test_a_port_refuses_connections_until_it_is_opened(self, runtime):
-        """Guards against callers that wait for a process that is starting."""
+        """Guards against callers that wait for a process that is still starting."""
         listener = runtime.bind(Address(LOCAL, 0))
         with pytest.raises(ConnectionRefusedError):
             runtime.dial(listener.address, 1000)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
     read_settings,
 )
 
-NEEDED = {
+REQUIRED = {
     "name": "vm-1",
     "failure_domain": "a",
     "listen": "127.0.0.1:8101",
@@ -25,14 +25,14 @@
 
 
 def build_arguments(**changes: str) -> list[str]:
-    """Return the flags of valid settings with some changed."""
-    values = {**NEEDED, **changes}
+    """Return the flags of valid settings, with `changes` applied."""
+    values = {**REQUIRED, **changes}
     return [f"{format_flag(field)}={value}" for field, value in values.items()]
 
 
 def test_flags_and_variables_give_the_same_settings(monkeypatch):
     by_flags = read_settings(build_arguments(drain_ms="5", log_level="debug"))
-    for field, value in {**NEEDED, "drain_ms": "5", "log_level": "debug"}.items():
+    for field, value in {**REQUIRED, "drain_ms": "5", "log_level": "debug"}.items():
         monkeypatch.setenv(format_variable(field), value)
     assert read_settings([]) == by_flags
     assert by_flags.platform == (Address("127.0.0.1", 9000), Address("127.0.0.1", 9001))
@@ -40,7 +40,7 @@
     assert read_settings(["--drain-ms=6"]).drain_ms == 6
 
 
-def test_every_field_has_a_flag_and_the_daemon_tells_the_exit_code():
+def test_every_field_has_a_flag_and_the_command_exits_with_the_code_of_run():
     assert [setting.field for setting in SETTINGS] == list(DaemonSettings._fields)
     result = CliRunner().invoke(daemon_command(lambda _: 3), build_arguments())
     assert result.exit_code == 3
@@ -62,11 +62,13 @@
     ],
 )
 @pytest.mark.parametrize("by_variable", [False, True])
-def test_a_mistake_names_flag_variable_and_range(field, value, allowed, by_variable):
-    """An operator mistypes a setting. A daemon that started all the same would show
-    it only under load.
+def test_an_error_names_flag_variable_and_allowed_values(
+    field, value, allowed, by_variable
+):
+    """Guards against a daemon that starts with a mistyped setting, which would be
+    noticed only under load.
     """
-    values = {format_variable(name): text for name, text in NEEDED.items()}
+    values = {format_variable(name): text for name, text in REQUIRED.items()}
     arguments = [] if by_variable else [f"{format_flag(field)}={value}"]
     values |= {format_variable(field): value} if by_variable else {}
     command = daemon_command(lambda _: pytest.fail("it ran"))
