--- a/bronzerelay/daemon.py
+++ b/bronzerelay/daemon.py
@@ -277,7 +277,7 @@
 
 
 def handle_stop_signals(runtime: Runtime) -> Signal:
-    """Install handlers; return the signal that SIGTERM and SIGINT set."""
+    """Install handlers for SIGTERM and SIGINT; return the signal that they set."""
     stop_requested = runtime.make_signal()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop_requested.set())
--- a/bronzerelay/settings.py
+++ b/bronzerelay/settings.py
@@ -200,7 +200,8 @@
     Setting(
         "isolation_ms",
         make_number_type(100, 600_000),
-        "Time without platform and peers after which requests are refused.",
+        "Time without contact with the platform and peers after which requests "
+        "are refused.",
     ),
     Setting(
         "drain_ms",
--- a/bronzerelay/types.py
+++ b/bronzerelay/types.py
@@ -127,7 +127,7 @@
 
 
 class StatementRequest(TypedDict):
-    """The body of a request to run a statement, or to end a transaction.
+    """The body of a request to run a statement, or to begin or end a transaction.
 
     `action` is `statement` (the default), `begin`, `commit` or `rollback`.
     """
