--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -123,8 +123,8 @@
 
 
 def test_a_drain_under_load_cuts_no_request():
-    """The daemon drains while callers keep sending requests. Each request that was sent
-    has to get its own complete answer.
+    """The daemon is replaced while callers send one request after another. Each
+    request that was sent has to get its own whole answer.
     """
     answered = []
 
@@ -132,7 +132,7 @@
         running.runtime.sleep_ms(2)
         return Ok({"value": request["statement"]["row"]})
 
-    def send_until_closed(name):
+    def send_until_told_to_go(name):
         caller, number = running.call(), 0
         while True:
             row = f"{name}-{number}"
@@ -150,7 +150,7 @@
     with run_front(run_slowly) as running:
         idle = running.call()
         assert idle.ask(HEALTH).status == 200
-        tasks = [running.runtime.start(send_until_closed, n) for n in range(8)]
+        tasks = [running.runtime.start(send_until_told_to_go, n) for n in range(8)]
         wait_until(running, lambda: len(answered) > 50)
         drained = running.runtime.start(running.front.drain, 5000)
         wait_until(running, lambda: running.front._draining)
