--- a/bronzerelay/runtime.py
+++ b/bronzerelay/runtime.py
@@ -120,15 +120,15 @@
         writes each Unix signal to a pipe that is polled as well.
         """
         reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        before = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
+        previous_fd = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
         try:
             poller = select.poll()
             poller.register(self._descriptor, select.POLLIN)
             poller.register(reader, select.POLLIN)
             while not _is_ready(poller.poll(), self._descriptor):
-                _drain(reader)
+                _empty_pipe(reader)
         finally:
-            signal.set_wakeup_fd(before)
+            signal.set_wakeup_fd(previous_fd)
             os.close(reader)
             os.close(writer)
 
@@ -141,7 +141,7 @@
     return any(ready == descriptor for ready, _ in events)
 
 
-def _drain(reader: int) -> None:
+def _empty_pipe(reader: int) -> None:
     with contextlib.suppress(BlockingIOError):
         os.read(reader, RECEIVE_BYTES)
 
--- a/bronzerelay/wire.py
+++ b/bronzerelay/wire.py
@@ -43,7 +43,7 @@
 
 
 class RefusedError(Exception):
-    """Raised in the parser's callbacks to reject a request with a refusal."""
+    """Raised in the parser's callbacks to refuse a request."""
 
     def __init__(self, refusal: Refusal):
         super().__init__(refusal.message)
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -536,8 +536,8 @@
     Mutation(
         "a signal that interrupts no wait wakes the main task",
         "bronzerelay/runtime.py",
-        "before = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)",
-        "before = -1",
+        "previous_fd = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)",
+        "previous_fd = -1",
         "tests/test_runtime.py::TestSignal",
     ),
     Mutation(
