--- a/bronzerelay/pooler/counters.py
+++ b/bronzerelay/pooler/counters.py
@@ -16,7 +16,7 @@
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 # Labels come from callers, too; without a bound they would fill the memory.
 LABEL_LIMIT = 512
-OTHER = (("other", "1"),)
+OVERFLOW_LABELS = (("other", "1"),)
 
 Labels = tuple[tuple[str, str], ...]
 
@@ -35,7 +35,7 @@
         with self._lock:
             counts = self._counts.setdefault(name, {})
             if key not in counts and len(counts) >= LABEL_LIMIT:
-                key = OTHER
+                key = OVERFLOW_LABELS
             counts[key] = counts.get(key, 0) + 1
 
     def record_ms(self, name: str, took_ms: float) -> None:
@@ -56,13 +56,13 @@
         with self._lock:
             for name, counts in sorted(self._counts.items()):
                 for labels, value in sorted(counts.items()):
-                    lines.append(f"{PREFIX}{name}_total{_write(labels)} {value}")
+                    lines.append(f"{PREFIX}{name}_total{_format(labels)} {value}")
             for name, histogram in sorted(self._histograms.items()):
-                lines += _write_histogram(name, histogram)
+                lines += _format_histogram(name, histogram)
         return ("\n".join(lines) + "\n").encode()
 
 
-def _write(labels: Labels) -> str:
+def _format(labels: Labels) -> str:
     if not labels:
         return ""
     inner = ",".join(f'{name}="{_escape(value)}"' for name, value in labels)
@@ -73,12 +73,12 @@
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def _write_histogram(name: str, histogram: HdrHistogram) -> list[str]:
+def _format_histogram(name: str, histogram: HdrHistogram) -> list[str]:
     lines = []
     for quantile in QUANTILES:
         value_ms = histogram.get_value_at_percentile(quantile) / 1000
-        label = _write((("route", name), ("quantile", f"{quantile / 100:g}")))
+        label = _format((("route", name), ("quantile", f"{quantile / 100:g}")))
         lines.append(f"{PREFIX}latency_ms{label} {value_ms:g}")
-    count = _write((("route", name),))
+    count = _format((("route", name),))
     lines.append(f"{PREFIX}latency_ms_count{count} {histogram.get_total_count()}")
     return lines
--- a/bronzerelay/pooler/daemon.py
+++ b/bronzerelay/pooler/daemon.py
@@ -53,14 +53,14 @@
 READY_PATH = "/-/readyz"
 # The part of the time that an instance has for leaving in which its lead is used. What
 # is sent at the end of it still has to arrive.
-LEAVE_PART = 0.7
+LEAVING_USE_FRACTION = 0.7
 # Tasks besides those of callers.
-OWN_TASKS = 80
+BACKGROUND_TASKS = 80
 # The grace before the kill is divided: until the first part new callers are served,
 # for the balancer takes two missed questions, a second apart, to send them elsewhere;
 # until the second what is open may end, and then the process does.
-SERVE_NEW_PART = 0.42
-EXIT_PART = 0.75
+ACCEPT_FRACTION = 0.42
+EXIT_FRACTION = 0.75
 STOP_POLL_MS = 50
 
 
@@ -87,7 +87,7 @@
     domain: str = ""
 
 
-class Records(Protocol):
+class RecordReader(Protocol):
     """How the platform's items are read."""
 
     def read_config(self, item: Item) -> FleetConfig | None:
@@ -108,10 +108,10 @@
 
     codec: LineCodec
     store: Store
-    records: Records
+    records: RecordReader
     promote: Promoter
     # Returns the settings when they have changed, else None; raises ValueError.
-    read_again: Callable[[], PoolerSettings | None]
+    read_changed_settings: Callable[[], PoolerSettings | None]
 
 
 class PoolerDaemon:
@@ -124,11 +124,13 @@
         self._plugins = plugins
         self.log = EventLog(runtime, settings.name)
         self.counters = Counters(runtime)
-        self.directory = Directory(runtime, self.log, settings.drain_ms * LEAVE_PART)
+        self.directory = Directory(
+            runtime, self.log, settings.drain_ms * LEAVING_USE_FRACTION
+        )
         self.placement = Placement(runtime, self.directory)
         self.pool = LinkPool(runtime, plugins.codec)
         self.rates = FleetRates(runtime, settings.name)
-        self.mirror = Mirror(runtime, plugins.store, self._take_item, self.log)
+        self.mirror = Mirror(runtime, plugins.store, self._apply_item, self.log)
         self.gossip = Gossip(runtime, settings.name, settings.peer, self.log)
         self.members = Members(
             runtime,
@@ -149,7 +151,7 @@
             self.placement,
             self.rates,
             self.guard,
-            self._take_lead,
+            self._apply_primary_record,
         )
         self.catch_up = CatchUp(
             runtime,
@@ -193,7 +195,7 @@
             ),
             self.runner.ask_status,
             plugins.promote,
-            self._take_lead,
+            self._apply_primary_record,
             self.counters,
             self.log,
         )
@@ -203,7 +205,7 @@
         self.mirror.on_change = self.heartbeats.announce_store_change
         self.mirror.fetch = self.catch_up.fetch
         self.guard.on_idle = self.heartbeats.announce_idle
-        self.reload_wanted = False
+        self.reload_requested = False
         self.stopping: Signal = runtime.make_signal()
         self.is_stopping = False
         self._ended: Signal = runtime.make_signal()
@@ -216,7 +218,7 @@
         settings = self._settings
         addresses = {settings.ready, settings.peer, settings.metrics, settings.admin}
         return [
-            PageServer(self._runtime, address, self.show_page, self._ended)
+            PageServer(self._runtime, address, self.get_page, self._ended)
             for address in addresses
             if address is not None
         ]
@@ -233,7 +235,7 @@
             and bool(self.directory.instances)
         )
 
-    def show_page(self, path: str) -> HttpResponse:
+    def get_page(self, path: str) -> HttpResponse:
         """Return the page at a path."""
         path, _, query = path.partition("?")
         if path == READY_PATH:
@@ -261,30 +263,32 @@
 
     # What the store brings
 
-    def _take_item(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         records = self._plugins.records
         try:
             if records.is_config(item.key):
-                self._take_config(records.read_config(item))
+                self._apply_config(records.read_config(item))
                 return
             if item.key.startswith(PRIMARY_RECORD_PREFIX) and item.data is not None:
-                self._take_lead(msgspec.json.decode(item.data, type=PrimaryRecord))
+                self._apply_primary_record(
+                    msgspec.json.decode(item.data, type=PrimaryRecord)
+                )
                 return
             instance_id = records.find_instance_id(item.key)
             if instance_id is not None:
-                self._take_instance(instance_id, item)
+                self._apply_instance(instance_id, item)
         except (ValueError, msgspec.DecodeError) as error:
             # Other writers may put anything there; the rest of the list holds.
             self.log.write(
                 "records", "An item can't be used.", key=item.key, error=str(error)
             )
 
-    def _take_config(self, config: FleetConfig | None) -> None:
+    def _apply_config(self, config: FleetConfig | None) -> None:
         if config is None or not self.directory.set_config(config, "store"):
             return
         self.rates.set_workspaces(config.workspaces.values())
 
-    def _take_instance(self, instance_id: str, item: Item) -> None:
+    def _apply_instance(self, instance_id: str, item: Item) -> None:
         if item.data is None:
             self.directory.unlist_instance(instance_id)
             return
@@ -292,36 +296,36 @@
         if entry is not None:
             self.directory.set_instance(entry)
 
-    def _take_lead(self, record: PrimaryRecord) -> None:
+    def _apply_primary_record(self, record: PrimaryRecord) -> None:
         if not self.directory.set_primary_record(record):
             return
         if record.settled:
             self.placement.positions_of(record.service).reset()
         elif not record.planned:
             # A dead primary answers nothing, and the change would wait for timeouts.
-            self.pool.break_links(record.deposed)
+            self.pool.close_all(record.deposed)
         self.gossip.send_now()
 
     # The other daemons
 
-    def _take_members(self, members: dict[str, Peer]) -> None:
+    def _apply_members(self, members: dict[str, Peer]) -> None:
         self.gossip.set_members(members)
         self.heartbeats.contacts.set_peers(members)
-        self.runner.set_daemons(len(members) + 1)
+        self.runner.set_daemon_count(len(members) + 1)
 
-    def _upkeep(self) -> None:
+    def _run_upkeep_loop(self) -> None:
         while self._runtime.sleep_ms(UPKEEP_MS):
             try:
-                self._tend()
+                self._run_upkeep()
             except Exception:
                 # One round that fails must not end all later ones: members, changes of
                 # primary and idle links would be left as they are without a word.
                 self.log.write("daemon", "Upkeep failed.", trace=traceback.format_exc())
 
-    def _tend(self) -> None:
+    def _run_upkeep(self) -> None:
         members = self.members.update()
         if members is not None:
-            self._take_members(members)
+            self._apply_members(members)
         # One that said it was stopping admits nothing once it is silent.
         serving = self.members.list_serving()
         self.rates.set_sources(self.heartbeats.list_sources(serving))
@@ -334,23 +338,23 @@
             if self.guard.has_proof():
                 self.changes.start_due_changes()
         self.directory.forget_unlisted()
-        self.placement.forget_missing()
+        self.placement.drop_unlisted()
         self.pool.close_unused(self.directory.is_listed)
 
     def _reload(self) -> None:
         """Take over changed settings; what can't be used leaves the old ones."""
-        wanted, self.reload_wanted = self.reload_wanted, False
+        requested, self.reload_requested = self.reload_requested, False
         try:
-            settings = self._plugins.read_again()
+            settings = self._plugins.read_changed_settings()
         except (OSError, ValueError) as error:
-            if wanted:
+            if requested:
                 self.log.write(
                     "daemon", "The settings can't be used.", error=str(error)
                 )
             return
         if settings is not None:
             self._settings = settings
-        if settings is not None or wanted:
+        if settings is not None or requested:
             self.log.write(
                 "daemon", "The settings were read again.", changed=settings is not None
             )
@@ -391,16 +395,16 @@
             self._runtime.start(self._run_session, session)
         except TaskLimitError as error:
             self.log.write_request("front", "No task for a caller.", error=str(error))
-            self._forget(session)
+            self._remove_session(session)
             connection.close()
 
     def _run_session(self, session: CallerSession) -> None:
         try:
             session.run()
         finally:
-            self._forget(session)
+            self._remove_session(session)
 
-    def _forget(self, session: CallerSession) -> None:
+    def _remove_session(self, session: CallerSession) -> None:
         with self._lock:
             self._sessions.discard(session)
 
@@ -424,12 +428,12 @@
             self.heartbeats.complete_beat,
         )
         run(self.gossip.run_receiver, self.heartbeats.handle_beat)
-        run(self._upkeep)
+        run(self._run_upkeep_loop)
         run(self._accept)
 
     def stop(self) -> None:
         """Serve what is there and what still comes, then end within the grace."""
-        begun_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         grace_ms = self._settings.grace_ms
         self.log.write(
             "daemon", "The daemon is stopping.", sessions=len(self._sessions)
@@ -438,8 +442,8 @@
         self.members.is_stopping = True
         self.heartbeats.is_stopping = True
         self.stopping.set()
-        serve_until_ms = begun_ms + SERVE_NEW_PART * grace_ms
-        exit_by_ms = begun_ms + EXIT_PART * grace_ms
+        serve_until_ms = started_ms + ACCEPT_FRACTION * grace_ms
+        exit_by_ms = started_ms + EXIT_FRACTION * grace_ms
         while self._clock.now_ms() < serve_until_ms:
             self._runtime.sleep_ms(STOP_POLL_MS)
         while self._sessions and self._clock.now_ms() < exit_by_ms:
@@ -452,24 +456,24 @@
 def run_daemon(runtime: Runtime, settings: PoolerSettings, plugins: Plugins) -> int:
     """Run a daemon until SIGTERM or SIGINT; return its exit code."""
     sys.setswitchinterval(ADVISED_SWITCH_INTERVAL_S)
-    end_wanted = runtime.make_signal()
+    stop_requested = runtime.make_signal()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: end_wanted.set())
+        signal.signal(number, lambda *_: stop_requested.set())
     # Before the parts are there: the signal's own effect is to end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     daemon = PoolerDaemon(runtime, settings, plugins)
 
-    def want_reload(*_: object) -> None:
-        daemon.reload_wanted = True
+    def request_reload(*_: object) -> None:
+        daemon.reload_requested = True
 
-    signal.signal(signal.SIGHUP, want_reload)
+    signal.signal(signal.SIGHUP, request_reload)
 
     def report_failure(text: str) -> None:
         daemon.log.write("daemon", "A task failed.", trace=text)
 
     runtime.report_failure = report_failure
     daemon.start()
-    end_wanted.wait()
+    stop_requested.wait()
     daemon.stop()
     # Interpreter exit joins all tasks, and some wait for bytes that never come.
     os._exit(0)
@@ -477,4 +481,4 @@
 
 def max_tasks(settings: PoolerSettings) -> int:
     """Return how many tasks a daemon with these settings may need."""
-    return settings.max_sessions + OWN_TASKS
+    return settings.max_sessions + BACKGROUND_TASKS
--- a/bronzerelay/pooler/fleetrates.py
+++ b/bronzerelay/pooler/fleetrates.py
@@ -14,37 +14,37 @@
 
 from bronzerelay.pooler.fleetconfig import Workspace
 from bronzerelay.pooler.sources import (
-    NOTHING,
     SILENT_MS,
+    ZERO_TALLY,
     PeerReports,
     Report,
     Scope,
     Source,
     SourceGroup,
-    Sum,
     Tally,
+    TallySum,
 )
 from bronzerelay.runtime import Runtime
 
 # The time that reports need to reach everybody, in milliseconds: what is spent within
 # it is spent without knowing of the others.
-ROUND_MS = 300
+PROPAGATION_MS = 300
 # The same through relays: from a daemon to its relay, to that of another failure
 # domain, and to the daemons there.
-RELAYED_ROUND_MS = 3 * ROUND_MS
+RELAYED_PROPAGATION_MS = 3 * PROPAGATION_MS
 # What a process begins with, in operations. What its predecessor spent isn't known to
 # it, so that it begins with next to nothing; with nothing at all the first caller of
 # each workspace would be refused.
-FIRST_TOKENS = 1.0
+INITIAL_TOKENS = 1.0
 # How long what callers ask for is remembered, in milliseconds: two reports, so that a
 # flood is seen at once and a single caller isn't taken for one.
-DEMAND_MS = 600
+DEMAND_WINDOW_MS = 600
 # The part of what is saved up that is given away before the next reports come. With
 # all of it given away each time, the fleet would spend and starve by turns.
-SAVED_PART = 0.5
+SAVED_FRACTION = 0.5
 
 
-class Grant(NamedTuple):
+class RateDecision(NamedTuple):
     """What becomes of an operation: it runs after `wait_ms`, or may come back then."""
 
     admitted: bool
@@ -56,18 +56,18 @@
 
     def __init__(self, spec: Workspace, now_ms: float, credit: float):
         self.spec = spec
-        self.tokens = min(FIRST_TOKENS, spec.burst)
+        self.tokens = min(INITIAL_TOKENS, spec.burst)
         self.filled_at_ms = now_ms
         # All that this process has admitted and was asked for, as it is reported.
         self.admitted = 0
-        self.asked = 0
+        self.requested = 0
         self.changed_at_ms = 0.0
         # What the fleet was asked for lately; older operations count for less.
         self.demand = 0.0
         # What adds up to the next operation while only a part is admitted.
         self.credit = credit
         # The part of the rate that is left to the daemons that are heard of.
-        self.part = 1.0
+        self.fraction = 1.0
 
 
 class FleetRates:
@@ -82,14 +82,14 @@
         self._reports: dict[tuple[str, Scope], PeerReports] = {}
         self._sources: dict[str, Source] = {}
         # What was counted of this failure domain's other daemons, and of other domains.
-        self._sums: dict[Scope, dict[str, Sum]] = {Scope.OWN: {}, Scope.DOMAIN: {}}
-        self._round_ms = ROUND_MS
+        self._sums: dict[Scope, dict[str, TallySum]] = {Scope.OWN: {}, Scope.DOMAIN: {}}
+        self._propagation_ms = PROPAGATION_MS
 
     def set_workspaces(self, specs: Iterable[Workspace]) -> None:
         """Take over the rates of a configuration."""
         now_ms = self._clock.now_ms()
         with self._lock:
-            kept = {}
+            updated = {}
             for spec in specs:
                 bucket = self._buckets.get(spec.name)
                 if bucket is None:
@@ -97,8 +97,8 @@
                     bucket = Bucket(spec, now_ms, self._random.random())
                 bucket.spec = spec
                 bucket.tokens = min(bucket.tokens, spec.burst)
-                kept[spec.name] = bucket
-            self._buckets = kept
+                updated[spec.name] = bucket
+            self._buckets = updated
 
     def set_members(self, names: Iterable[str]) -> None:
         """Take over who else may admit operations, where each reports here itself."""
@@ -109,7 +109,7 @@
         """Take over who tells of whom; all members but this one belong to one group."""
         now_ms = self._clock.now_ms()
         with self._lock:
-            kept = {}
+            updated = {}
             for key, group in groups.items():
                 source = self._sources.get(key)
                 if source is None or source.group.scope is not group.scope:
@@ -117,10 +117,12 @@
                 source.group = group
                 if source.current not in group.names:
                     source.current = None
-                kept[key] = source
-            self._sources = kept
+                updated[key] = source
+            self._sources = updated
             is_relayed = any(group.scope is not Scope.OWN for group in groups.values())
-            self._round_ms = RELAYED_ROUND_MS if is_relayed else ROUND_MS
+            self._propagation_ms = (
+                RELAYED_PROPAGATION_MS if is_relayed else PROPAGATION_MS
+            )
 
     # Reports
 
@@ -136,53 +138,53 @@
                 names.update(*self._sums.values())
             tallies = {}
             for name in names:
-                tally, changed_at_ms = self._add_up(name, scope, receiver)
-                if tally.asked and changed_at_ms >= oldest_ms:
+                tally, changed_at_ms = self._sum_tallies(name, scope, receiver)
+                if tally.requested and changed_at_ms >= oldest_ms:
                     tallies[name] = tally
-            heard, members = self._count_covered(scope, receiver, now_ms)
-        return Report(since_ms is None, tallies, scope, heard, members)
+            reachable, members = self._count_members(scope, receiver, now_ms)
+        return Report(since_ms is None, tallies, scope, reachable, members)
 
-    def _add_up(self, workspace: str, scope: Scope, receiver: str) -> Sum:
+    def _sum_tallies(self, workspace: str, scope: Scope, receiver: str) -> TallySum:
         """Return what a report of a scope says of a workspace to a receiver."""
         bucket = self._buckets.get(workspace)
-        total, changed_at_ms = NOTHING, -math.inf
+        total, changed_at_ms = ZERO_TALLY, -math.inf
         if bucket is not None:
-            total = Tally(bucket.admitted, bucket.asked)
+            total = Tally(bucket.admitted, bucket.requested)
             changed_at_ms = bucket.changed_at_ms
-        counted = {
+        other_scopes = {
             Scope.OWN: (),
             Scope.DOMAIN: (Scope.OWN,),
             Scope.FLEET: (Scope.OWN, Scope.DOMAIN),
         }[scope]
-        for part in counted:
-            found = self._sums[part].get(workspace)
-            if found is not None:
-                total = total.plus(found.tally)
-                changed_at_ms = max(changed_at_ms, found.changed_at_ms)
+        for other_scope in other_scopes:
+            other = self._sums[other_scope].get(workspace)
+            if other is not None:
+                total = total.plus(other.tally)
+                changed_at_ms = max(changed_at_ms, other.changed_at_ms)
         if scope is Scope.FLEET:
             reports = self._reports.get((receiver, Scope.OWN))
             if reports is not None:
-                total = total.minus(reports.counted.get(workspace, NOTHING))
-        return Sum(total, changed_at_ms)
+                total = total.minus(reports.applied.get(workspace, ZERO_TALLY))
+        return TallySum(total, changed_at_ms)
 
-    def _count_covered(
+    def _count_members(
         self, scope: Scope, receiver: str, now_ms: float
     ) -> tuple[int, int]:
         """Return how many members a report stands for: those heard of, and all."""
-        heard = members = 1
+        reachable = members = 1
         if scope is Scope.OWN:
-            return heard, members
+            return reachable, members
         for source in self._sources.values():
             if scope is Scope.DOMAIN and source.group.scope is not Scope.OWN:
                 continue
             if source.group.names == (receiver,):
                 continue
             members += source.members
-            heard += 0 if source.is_silent(now_ms) else source.heard
-        return heard, members
+            reachable += 0 if source.is_silent(now_ms) else source.reachable
+        return reachable, members
 
     def apply_report(
-        self, peer: str, incarnation: int, heard_at_ms: float, report: Report
+        self, peer: str, incarnation: int, last_report_ms: float, report: Report
     ) -> None:
         """Take what a peer tells as admitted out of the buckets.
 
@@ -192,17 +194,19 @@
         with self._lock:
             known = self._find_reports(peer, incarnation, report.scope)
             source = self._find_source(peer, report.scope, now_ms)
-            counts = source is not None and not source.is_silent(now_ms)
+            is_current = source is not None and not source.is_silent(now_ms)
             for name, tally in report.tallies.items():
                 base = known.tallies.get(name)
                 if base is None and known.complete:
-                    base = NOTHING
+                    base = ZERO_TALLY
                 known.tallies[name] = tally
-                if base is not None and counts:
-                    self._count(known, report.scope, name, tally.minus(base), now_ms)
-            known.complete = known.complete or report.whole
+                if base is not None and is_current:
+                    self._apply_tally(
+                        known, report.scope, name, tally.minus(base), now_ms
+                    )
+            known.complete = known.complete or report.full
             if source is not None:
-                source.note(report, heard_at_ms)
+                source.add_report(report, last_report_ms)
 
     def _find_reports(self, peer: str, incarnation: int, scope: Scope) -> PeerReports:
         """Return what the peer's process has reported so far.
@@ -221,10 +225,10 @@
         for source in self._sources.values():
             group = source.group
             if group.scope is scope and peer in group.names:
-                return source if source.believes(peer, now_ms) else None
+                return source if source.accepts(peer, now_ms) else None
         return None
 
-    def _count(
+    def _apply_tally(
         self,
         reports: PeerReports,
         scope: Scope,
@@ -238,20 +242,20 @@
             # Less than before where more was given back than spent.
             left = bucket.tokens - added.admitted
             bucket.tokens = min(bucket.spec.burst, left)
-            bucket.demand = max(0.0, bucket.demand + added.asked)
+            bucket.demand = max(0.0, bucket.demand + added.requested)
         sums = self._sums.get(scope)
         if sums is None:
             return
-        counted = reports.counted.get(workspace, NOTHING)
-        reports.counted[workspace] = counted.plus(added)
+        applied = reports.applied.get(workspace, ZERO_TALLY)
+        reports.applied[workspace] = applied.plus(added)
         known = sums.get(workspace)
         total = known.tally.plus(added) if known else added
-        sums[workspace] = Sum(total, now_ms)
+        sums[workspace] = TallySum(total, now_ms)
 
     # Spending
 
-    def spend(self, workspace: str, patience_ms: float = 0.0) -> Grant:
-        """Spend one operation, one that is due within `patience_ms` included.
+    def spend(self, workspace: str, max_wait_ms: float = 0.0) -> RateDecision:
+        """Spend one operation, one that is due within `max_wait_ms` included.
 
         A bucket that is nearly empty, as that of a process that has just started,
         earns its next operation in a few milliseconds. Refused for so little, a caller
@@ -263,28 +267,28 @@
         with self._lock:
             bucket = self._buckets.get(workspace)
             if bucket is None:
-                return Grant(True)
+                return RateDecision(True)
             self._fill(bucket, now_ms)
-            bucket.asked += 1
+            bucket.requested += 1
             bucket.changed_at_ms = now_ms
             bucket.demand += 1
-            rate = max(bucket.spec.rate * bucket.part, 0.001)
+            rate = max(bucket.spec.rate * bucket.fraction, 0.001)
             due_ms = max(0.0, (1 - bucket.tokens) / rate * 1000)
-            is_flooded = bucket.demand * 1000 / DEMAND_MS > rate
-            if due_ms > (0.0 if is_flooded else patience_ms):
-                return Grant(False, max(1.0, due_ms))
-            expected = bucket.demand * self._round_ms / DEMAND_MS
-            budget = bucket.tokens * SAVED_PART + rate * self._round_ms / 1000
+            is_over_rate = bucket.demand * 1000 / DEMAND_WINDOW_MS > rate
+            if due_ms > (0.0 if is_over_rate else max_wait_ms):
+                return RateDecision(False, max(1.0, due_ms))
+            expected = bucket.demand * self._propagation_ms / DEMAND_WINDOW_MS
+            budget = bucket.tokens * SAVED_FRACTION + rate * self._propagation_ms / 1000
             # With no more care than for tokens, a flood through 40 daemons gets 58 to
             # 164 operations a second of 100 (simulated), with it 79 to 105.
             bucket.credit += min(1.0, max(0.0, budget / expected))
             if bucket.credit < 1:
                 # So long the rate takes for those who come too much in one round.
-                return Grant(False, max(1.0, (expected - budget) / rate * 1000))
+                return RateDecision(False, max(1.0, (expected - budget) / rate * 1000))
             bucket.credit -= 1
             bucket.tokens -= 1
             bucket.admitted += 1
-            return Grant(True, due_ms)
+            return RateDecision(True, due_ms)
 
     def describe(self, workspace: str) -> str:
         """Return what a decision about a workspace goes by, for people."""
@@ -292,14 +296,14 @@
             bucket = self._buckets.get(workspace)
             if bucket is None:
                 return "it has no rate"
-            asked = bucket.demand * 1000 / DEMAND_MS
+            demand = bucket.demand * 1000 / DEMAND_WINDOW_MS
             return (
                 f"{bucket.tokens:.1f} of {bucket.spec.burst:g} operations left, "
-                f"{bucket.spec.rate:g} a second due, {asked:.1f} a second asked for, "
-                f"{bucket.part:.0%} of the daemons heard of"
+                f"{bucket.spec.rate:g} a second due, {demand:.1f} a second asked for, "
+                f"{bucket.fraction:.0%} of the daemons heard of"
             )
 
-    def give_back(self, workspace: str) -> None:
+    def refund(self, workspace: str) -> None:
         """Take back an operation that no instance has run.
 
         Kept, each refusal for another reason would use up the workspace's rate, and a
@@ -310,7 +314,7 @@
             if bucket is not None and bucket.admitted > 0:
                 bucket.tokens = min(bucket.spec.burst, bucket.tokens + 1)
                 bucket.admitted -= 1
-                bucket.asked -= 1
+                bucket.requested -= 1
                 bucket.demand = max(0.0, bucket.demand - 1)
                 bucket.changed_at_ms = self._clock.now_ms()
 
@@ -319,23 +323,25 @@
         elapsed_ms = now_ms - bucket.filled_at_ms
         if elapsed_ms <= 0:
             return
-        part = self._work_out_part(now_ms)
-        if part < bucket.part:
+        fraction = self._find_reachable_fraction(now_ms)
+        if fraction < bucket.fraction:
             # The silent ones may spend their part of what is saved up, too, and have
             # spent unheard since they fell silent, as this side has.
-            lost = bucket.part - part
-            bucket.tokens = min(bucket.tokens, bucket.tokens * part / bucket.part)
-            bucket.tokens -= bucket.spec.rate * lost * SILENT_MS / 1000
-        bucket.part = part
+            lost_fraction = bucket.fraction - fraction
+            bucket.tokens = min(
+                bucket.tokens, bucket.tokens * fraction / bucket.fraction
+            )
+            bucket.tokens -= bucket.spec.rate * lost_fraction * SILENT_MS / 1000
+        bucket.fraction = fraction
         spec = bucket.spec
-        earned = spec.rate * part * elapsed_ms / 1000
-        bucket.tokens = min(spec.burst * part, bucket.tokens + earned)
+        earned = spec.rate * fraction * elapsed_ms / 1000
+        bucket.tokens = min(spec.burst * fraction, bucket.tokens + earned)
         bucket.filled_at_ms = now_ms
-        bucket.demand *= math.exp(-elapsed_ms / DEMAND_MS)
+        bucket.demand *= math.exp(-elapsed_ms / DEMAND_WINDOW_MS)
 
-    def _work_out_part(self, now_ms: float) -> float:
-        heard = members = 1
+    def _find_reachable_fraction(self, now_ms: float) -> float:
+        reachable = members = 1
         for source in self._sources.values():
             members += source.members
-            heard += 0 if source.is_silent(now_ms) else source.heard
-        return heard / members
+            reachable += 0 if source.is_silent(now_ms) else source.reachable
+        return reachable / members
--- a/bronzerelay/pooler/httpcalls.py
+++ b/bronzerelay/pooler/httpcalls.py
@@ -88,18 +88,18 @@
             try:
                 connection.set_timeout(timeout_ms)
                 connection.send(self._encode(method, path, body, headers or {}))
-                answer, keep = self._receive(connection, deadline_ms)
+                answer, keep_alive = self._receive(connection, deadline_ms)
             except (OSError, ValueError, httptools.HttpParserError) as error:
                 # A late response would be taken for that of the next call.
-                self._forget()
+                self._close_connection()
                 raise HttpCallError(f"{self._address}: {error}", True) from None
-            if not keep:
-                self._forget()
+            if not keep_alive:
+                self._close_connection()
             return answer
 
     def _connect(self, timeout_ms: float) -> Connection:
         if self._connection is not None and not self._connection.is_quiet():
-            self._forget()
+            self._close_connection()
         if self._connection is None:
             limit_ms = min(timeout_ms, CONNECT_TIMEOUT_MS)
             try:
@@ -109,7 +109,7 @@
                 raise HttpCallError(message, False) from None
         return self._connection
 
-    def _forget(self) -> None:
+    def _close_connection(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
--- a/bronzerelay/pooler/links.py
+++ b/bronzerelay/pooler/links.py
@@ -24,16 +24,16 @@
 # queue dropped is sent again only after a second, and another instance is quicker.
 CONNECT_TIMEOUT_MS = 400
 # Statements of the pooler's own, which no caller sent, go by this id.
-OWN_ID = "-"
+POOLER_STATEMENT_ID = "-"
 # A link that nobody has used for this long is closed: the connections of an instance
 # are few, and others may want them. Milliseconds.
 IDLE_CLOSE_MS = 4_000
 # How long bringing a link to a session's state may take, in milliseconds. It takes no
 # slot, so that only a dark instance needs longer.
-PREPARE_TIMEOUT_MS = 600
+SESSION_STATE_TIMEOUT_MS = 600
 # How long the first answer on a new connection may take, in milliseconds. A connection
 # takes a slot, so that a busy instance may let it wait behind statements.
-START_TIMEOUT_MS = 1_000
+HANDSHAKE_TIMEOUT_MS = 1_000
 # Prepared names on one connection before it is wiped, so that an instance's memory
 # stays bounded whatever callers prepare.
 PREPARED_LIMIT = 200
@@ -48,7 +48,7 @@
         self.detail = detail
 
 
-def name_prepared(prepared: Prepared) -> str:
+def prepared_name(prepared: Prepared) -> str:
     """Return the name under which a prepared statement lies on every link.
 
     Two callers may give one name to two shapes. Named by its content, what one has
@@ -80,11 +80,11 @@
         self._values: dict[str, str] = {}
         self._prepared: set[str] = set()
 
-    def start(self, deadline_ms: float) -> Answer:
+    def handshake(self, deadline_ms: float) -> Answer:
         """Introduce the connection to the instance; return its answer."""
         entry = self.entry
         data = self._codec.encode_startup(entry.service, self.workspace, entry.id)
-        return self._exchange(data, deadline_ms, starting=True)
+        return self._exchange(data, deadline_ms, is_handshake=True)
 
     def call(
         self, statement_id: str, text: str, floor: Position | None, deadline_ms: float
@@ -100,7 +100,7 @@
         return answer
 
     def _exchange(
-        self, data: bytes, deadline_ms: float, starting: bool = False
+        self, data: bytes, deadline_ms: float, is_handshake: bool = False
     ) -> Answer:
         sent = False
         try:
@@ -108,7 +108,7 @@
             # A part of it may arrive even when sending fails.
             sent = True
             self._connection.send(data)
-            return self._read_answer(deadline_ms, starting)
+            return self._read_answer(deadline_ms, is_handshake)
         except TimeoutError:
             self.close()
             return Answer(fault=Fault.TIMED_OUT, detail="no answer in time")
@@ -117,7 +117,7 @@
             fault = Fault.LOST if sent else Fault.UNREACHABLE
             return Answer(fault=fault, detail=str(error))
 
-    def _read_answer(self, deadline_ms: float, starting: bool = False) -> Answer:
+    def _read_answer(self, deadline_ms: float, is_handshake: bool = False) -> Answer:
         """Return the whole answer; one to the start ends with its error.
 
         An instance closes after it has turned a connection away. Taken for a lost
@@ -135,7 +135,7 @@
                 signature = line.text
             elif line.part is AnswerPart.FAULT:
                 fault, detail = line.fault, line.text
-                if starting:
+                if is_handshake:
                     return Answer(fault=fault, detail=detail)
             else:
                 return Answer(
@@ -144,21 +144,25 @@
 
     # The session's state
 
-    def matches(self, values: dict[str, str]) -> bool:
+    def has_values(self, values: dict[str, str]) -> bool:
         """Return whether the values on the connection are those of the session."""
         return self._values == values
 
-    def adopt(self, values: dict[str, str], needed: Prepared | None) -> None:
+    def apply_session_state(
+        self, values: dict[str, str], needed: Prepared | None
+    ) -> None:
         """Bring the connection to the session's values and the needed statement.
 
         Raise LinkError when it can't be; the link is closed then, since nobody knows
         what lies on it.
         """
-        texts = self._list_steps(values, needed)
+        texts = self._list_setup_statements(values, needed)
         if not texts:
             return
-        deadline_ms = self._clock.now_ms() + PREPARE_TIMEOUT_MS
-        data = b"".join(self._codec.encode_query(OWN_ID, text, None) for text in texts)
+        deadline_ms = self._clock.now_ms() + SESSION_STATE_TIMEOUT_MS
+        data = b"".join(
+            self._codec.encode_query(POOLER_STATEMENT_ID, text, None) for text in texts
+        )
         answer = self._exchange(data, deadline_ms)
         for _ in texts[1:]:
             if answer.fault is not None or not self.usable:
@@ -176,29 +180,31 @@
             self.close()
             return Answer(fault=Fault.UNREACHABLE, detail=str(error))
 
-    def _list_steps(self, values: dict[str, str], needed: Prepared | None) -> list[str]:
+    def _list_setup_statements(
+        self, values: dict[str, str], needed: Prepared | None
+    ) -> list[str]:
         """Return the statements that bring the connection to the session's state."""
-        steps = []
+        texts = []
         surplus = any(name not in values for name in self._values)
         if surplus or len(self._prepared) > PREPARED_LIMIT:
-            steps.append(self._codec.format_discard())
+            texts.append(self._codec.format_discard())
             self._values = {}
             self._prepared = set()
         for name, value in values.items():
             if self._values.get(name) != value:
-                steps.append(self._codec.format_set(name, value))
+                texts.append(self._codec.format_set(name, value))
         if needed is not None:
-            name = name_prepared(needed)
+            name = prepared_name(needed)
             if name not in self._prepared:
-                steps.append(self._codec.format_prepare(name, needed))
+                texts.append(self._codec.format_prepare(name, needed))
                 self._prepared.add(name)
-        return steps
+        return texts
 
     def forget_prepared(self) -> None:
         """Take the names on the connection for lost, since the instance said so."""
         self._prepared = set()
 
-    def is_sound(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the next session may use the link."""
         return self.usable and not self.in_transaction and self._connection.is_quiet()
 
@@ -222,10 +228,10 @@
         self._lock = runtime.make_lock()
         self._idle: dict[str, list[InstanceLink]] = {}
         self._open: dict[str, int] = {}
-        self._lent: set[InstanceLink] = set()
+        self._in_use: set[InstanceLink] = set()
         self.opened = 0
 
-    def lend(
+    def acquire(
         self,
         entry: InstanceEntry,
         workspace: str,
@@ -234,35 +240,37 @@
     ) -> InstanceLink:
         """Return a link of the workspace to the instance, or raise LinkError."""
         while True:
-            link = self._take_idle(entry, workspace, values)
+            link = self._find_idle(entry, workspace, values)
             if link is None:
-                link = self._dial(entry, workspace, deadline_ms)
-            elif not link.is_sound():
-                self._drop(link)
+                link = self._connect(entry, workspace, deadline_ms)
+            elif not link.is_reusable():
+                self._discard(link)
                 continue
             with self._lock:
-                self._lent.add(link)
+                self._in_use.add(link)
             return link
 
-    def _take_idle(
+    def _find_idle(
         self, entry: InstanceEntry, workspace: str, values: dict[str, str]
     ) -> InstanceLink | None:
         with self._lock:
             idle = self._idle.get(entry.id, [])
-            fitting = [
+            candidates = [
                 link
                 for link in idle
                 if link.workspace == workspace
                 and link.entry.born_ms == entry.born_ms
                 and link.entry.address == entry.address
             ]
-            if not fitting:
+            if not candidates:
                 return None
-            best = next((one for one in fitting if one.matches(values)), fitting[-1])
+            best = next(
+                (link for link in candidates if link.has_values(values)), candidates[-1]
+            )
             idle.remove(best)
             return best
 
-    def _dial(
+    def _connect(
         self, entry: InstanceEntry, workspace: str, deadline_ms: float
     ) -> InstanceLink:
         now_ms = self._runtime.clock.now_ms()
@@ -278,47 +286,47 @@
             self._count_closed(entry.id)
             raise LinkError(Fault.UNREACHABLE, str(error)) from None
         link = InstanceLink(self._runtime, self._codec, connection, entry, workspace)
-        start_by_ms = min(deadline_ms, now_ms + START_TIMEOUT_MS)
-        answer = link.start(start_by_ms)
+        handshake_deadline_ms = min(deadline_ms, now_ms + HANDSHAKE_TIMEOUT_MS)
+        answer = link.handshake(handshake_deadline_ms)
         if answer.fault is None:
             return link
-        self._drop(link)
+        self._discard(link)
         fault = answer.fault
         if fault in (Fault.TIMED_OUT, Fault.LOST):
             fault = Fault.UNREACHABLE
         raise LinkError(fault, answer.detail)
 
-    def give_back(self, link: InstanceLink, keep: int) -> None:
-        """Take a link back; keep at most `keep` idle ones of its instance."""
+    def release(self, link: InstanceLink, max_idle: int) -> None:
+        """Take a link back; keep at most `max_idle` idle ones of its instance."""
         with self._lock:
-            self._lent.discard(link)
+            self._in_use.discard(link)
         if not link.usable or link.in_transaction:
-            self._drop(link)
+            self._discard(link)
             return
         link.idle_since_ms = self._runtime.clock.now_ms()
         surplus = []
         with self._lock:
             idle = self._idle.setdefault(link.entry.id, [])
             idle.append(link)
-            while len(idle) > max(0, keep):
+            while len(idle) > max(0, max_idle):
                 surplus.append(idle.pop(0))
-        for one in surplus:
-            self._drop(one)
+        for link in surplus:
+            self._discard(link)
 
-    def make_room(self, instance_id: str) -> None:
+    def close_idle(self, instance_id: str) -> None:
         """Close the idle links of an instance that has no connection left."""
         with self._lock:
             links = self._idle.pop(instance_id, [])
         for link in links:
-            self._drop(link)
+            self._discard(link)
 
-    def break_links(self, instance_id: str) -> None:
+    def close_all(self, instance_id: str) -> None:
         """Close all links to an instance, also those that tasks wait on."""
         with self._lock:
-            lent = [link for link in self._lent if link.entry.id == instance_id]
-        for link in lent:
+            in_use = [link for link in self._in_use if link.entry.id == instance_id]
+        for link in in_use:
             link.close()
-        self.make_room(instance_id)
+        self.close_idle(instance_id)
 
     def close_unused(self, is_listed: Callable[[InstanceEntry], bool]) -> None:
         """Close links idle for long, and those to instances that aren't listed."""
@@ -332,13 +340,13 @@
                     (kept if fresh and is_listed(link.entry) else surplus).append(link)
                 self._idle[instance_id] = kept
         for link in surplus:
-            self._drop(link)
+            self._discard(link)
 
     def count_open(self, instance_id: str) -> int:
         """Return how many links to the instance are open, lent ones included."""
         return self._open.get(instance_id, 0)
 
-    def _drop(self, link: InstanceLink) -> None:
+    def _discard(self, link: InstanceLink) -> None:
         link.close()
         self._count_closed(link.entry.id)
 
--- a/bronzerelay/pooler/placement.py
+++ b/bronzerelay/pooler/placement.py
@@ -11,26 +11,26 @@
 # The assumed time of an answer before any was measured, in milliseconds, and the weight
 # of a new one. It is short, so that each instance is tried; a longer one than that of
 # an instance in use would leave the others unused for good.
-FIRST_ANSWER_MS = 1.0
+INITIAL_ANSWER_MS = 1.0
 ANSWER_WEIGHT = 0.1
 # An instance that was out of reach gets nothing for this long, unless there is no
 # other: each try costs its caller the whole timeout. Milliseconds.
-TROUBLE_MS = 700
+AVOID_MS = 700
 # A position that a replica's answer named says nothing about it after this time: its
 # log moves on. Milliseconds.
-POSITION_AGE_MS = 300
+POSITION_VALID_MS = 300
 # The primary has the writes to serve, which nobody else can, so that a read goes there
 # only when a replica would take this many times as long.
-PRIMARY_COST = 2.0
+PRIMARY_COST_FACTOR = 2.0
 
 
 class InstanceView:
     """What this daemon has seen of one instance."""
 
     def __init__(self):
-        self.answer_ms = FIRST_ANSWER_MS
+        self.answer_ms = INITIAL_ANSWER_MS
         self.outstanding = 0
-        self.trouble_until_ms = 0.0
+        self.avoid_until_ms = 0.0
         # Failures since the last answer, and when they began.
         self.failures = 0
         self.failing_since_ms = 0.0
@@ -38,7 +38,7 @@
         self.position_at_ms = 0.0
 
 
-class ReadNeed(NamedTuple):
+class ReadRequirement(NamedTuple):
     """What a read needs: a log up to `floor`, or the primary when there is none."""
 
     floor: Position | None
@@ -74,24 +74,24 @@
                 view = self._views.setdefault(instance_id, InstanceView())
         return view
 
-    def forget_missing(self) -> None:
+    def drop_unlisted(self) -> None:
         """Drop the views of instances that are listed no more."""
         listed = self._directory.instances
         with self._lock:
-            for gone in set(self._views) - set(listed):
-                del self._views[gone]
+            for instance_id in set(self._views) - set(listed):
+                del self._views[instance_id]
 
     def list_samples(self, since_ms: float, own: bool) -> dict[str, Sample]:
         """Return the newest sample of each primary's log since a moment, by service.
 
         With `own` those alone that primaries have told this daemon itself.
         """
-        found = {}
+        samples = {}
         for service, positions in list(self._positions.items()):
-            sample = positions.own if own else positions.newest()
+            sample = positions.newest_own if own else positions.newest()
             if sample is not None and sample.at_ms >= since_ms:
-                found[service] = sample
-        return found
+                samples[service] = sample
+        return samples
 
     def list_silent(self) -> dict[str, float]:
         """Return the instances that give no answer, and since when."""
@@ -107,14 +107,14 @@
         """Note how long an instance took for an answer."""
         view = self.view_of(entry.id)
         view.answer_ms += ANSWER_WEIGHT * (took_ms - view.answer_ms)
-        view.trouble_until_ms = 0.0
+        view.avoid_until_ms = 0.0
         view.failures = 0
 
     def record_failure(self, entry: InstanceEntry, sent_at_ms: float) -> None:
         """Note that an instance gave no answer to what was sent at `sent_at_ms`."""
         view = self.view_of(entry.id)
         now_ms = self._clock.now_ms()
-        view.trouble_until_ms = now_ms + TROUBLE_MS
+        view.avoid_until_ms = now_ms + AVOID_MS
         if view.failures == 0:
             view.failing_since_ms = sent_at_ms
         view.failures += 1
@@ -128,25 +128,27 @@
         view = self.view_of(entry.id)
         view.position = position
         view.position_at_ms = sent_at_ms
-        leader = self._directory.find_primary(entry.service)
-        if leader is not None and leader.id == entry.id:
+        primary = self._directory.find_primary(entry.service)
+        if primary is not None and primary.id == entry.id:
             self.positions_of(entry.service).add_own_sample(sent_at_ms, position)
 
     # Choosing
 
-    def work_out_need(self, route: Route, own_commit: Position | None) -> ReadNeed:
+    def find_requirement(
+        self, route: Route, own_commit: Position | None
+    ) -> ReadRequirement:
         """Return what a read on `route` needs, after the session's own commit."""
         if route.consistency is Consistency.PRIMARY:
-            return ReadNeed(None, True)
+            return ReadRequirement(None, True)
         floor = self.positions_of(route.service).find_floor(route.max_age_ms)
         if floor is None:
-            return ReadNeed(None, True)
-        own_matters = route.consistency is Consistency.READ_YOUR_WRITES
-        if own_matters and own_commit and not self._is_replaced(route, own_commit):
+            return ReadRequirement(None, True)
+        reads_own = route.consistency is Consistency.READ_YOUR_WRITES
+        if reads_own and own_commit and not self._predates_primary(route, own_commit):
             floor = max(floor, own_commit)
-        return ReadNeed(floor, False)
+        return ReadRequirement(floor, False)
 
-    def _is_replaced(self, route: Route, commit: Position) -> bool:
+    def _predates_primary(self, route: Route, commit: Position) -> bool:
         """Return whether a commit is older than the lead of the present primary.
 
         All samples are of that primary then, and hold each such commit that was kept.
@@ -155,42 +157,48 @@
         record = self._directory.primary_records.get(route.service)
         return record is not None and commit.term < record.term
 
-    def list_readers(
-        self, service: str, need: ReadNeed, tried: frozenset[str], has_proof: bool
+    def list_candidates(
+        self,
+        service: str,
+        requirement: ReadRequirement,
+        tried: frozenset[str],
+        has_proof: bool,
     ) -> list[str]:
         """Return the ids of the instances that may serve a read, best first.
 
         Without a proof that it still leads, the primary is left to those that need it.
         """
-        leader = self._directory.find_primary(service)
-        if need.primary_only:
-            return [leader.id] if leader else []
+        primary = self._directory.find_primary(service)
+        if requirement.primary_only:
+            return [primary.id] if primary else []
         now_ms = self._clock.now_ms()
         ranked = []
         for entry in self._directory.list_instances(service):
             if entry.leaving or entry.id in tried:
                 continue
-            is_leader = leader is not None and leader.id == entry.id
-            if is_leader and not has_proof:
+            is_primary = primary is not None and primary.id == entry.id
+            if is_primary and not has_proof:
                 continue
-            if not is_leader and entry.claims_primary:
+            if not is_primary and entry.claims_primary:
                 # Two claim to lead: the other one's log may part from the leader's.
                 continue
             view = self.view_of(entry.id)
-            if not is_leader and not self._may_hold(view, need.floor, now_ms):
+            if not is_primary and not self._may_have_reached(
+                view, requirement.floor, now_ms
+            ):
                 continue
             cost = (view.outstanding + 1) * view.answer_ms
-            if is_leader:
-                cost *= PRIMARY_COST
-            in_trouble = view.trouble_until_ms > now_ms
-            ranked.append((in_trouble, cost, entry.id))
-        if not ranked and leader is not None:
-            return [leader.id]
+            if is_primary:
+                cost *= PRIMARY_COST_FACTOR
+            is_avoided = view.avoid_until_ms > now_ms
+            ranked.append((is_avoided, cost, entry.id))
+        if not ranked and primary is not None:
+            return [primary.id]
         return [instance_id for _, _, instance_id in sorted(ranked)]
 
-    def _may_hold(
+    def _may_have_reached(
         self, view: InstanceView, floor: Position | None, now_ms: float
     ) -> bool:
         if floor is None or view.position is None or view.position >= floor:
             return True
-        return now_ms - view.position_at_ms > POSITION_AGE_MS
+        return now_ms - view.position_at_ms > POSITION_VALID_MS
--- a/bronzerelay/pooler/positions.py
+++ b/bronzerelay/pooler/positions.py
@@ -9,8 +9,8 @@
 
 # Samples kept for a service. A bound of seconds is met by any of the last ones, and one
 # every SPACING_MS is enough to choose from.
-SAMPLES = 64
-SPACING_MS = 40
+MAX_SAMPLES = 64
+MIN_SPACING_MS = 40
 # Taken off every stated age, in milliseconds: for a read that is judged by when it
 # reached the instance and not by when it was sent from here.
 AGE_MARGIN_MS = 150
@@ -33,11 +33,11 @@
     def __init__(self, runtime: Runtime):
         self._clock = runtime.clock
         self._lock = runtime.make_lock()
-        self._samples: deque[Sample] = deque(maxlen=SAMPLES)
+        self._samples: deque[Sample] = deque(maxlen=MAX_SAMPLES)
         # Since when another instance leads, as far as this daemon has seen it.
         self.reset_at_ms = -math.inf
         # The newest one that this daemon has from the primary itself.
-        self.own: Sample | None = None
+        self.newest_own: Sample | None = None
 
     def reset(self) -> None:
         """Forget all samples, since another instance leads now.
@@ -47,20 +47,20 @@
         """
         with self._lock:
             self._samples.clear()
-            self.own = None
+            self.newest_own = None
             self.reset_at_ms = self._clock.now_ms()
 
     def add_own_sample(self, at_ms: float, position: Position) -> None:
         """Note what the primary itself has told this daemon."""
-        if self.own is None or at_ms > self.own.at_ms:
-            self.own = Sample(at_ms, position)
+        if self.newest_own is None or at_ms > self.newest_own.at_ms:
+            self.newest_own = Sample(at_ms, position)
         self.add_sample(at_ms, position)
 
     def add_sample(self, at_ms: float, position: Position) -> None:
         """Note that the primary's log ended at `position` at `at_ms` or later."""
         with self._lock:
             last = self._samples[-1] if self._samples else None
-            if last is None or at_ms - last.at_ms >= SPACING_MS:
+            if last is None or at_ms - last.at_ms >= MIN_SPACING_MS:
                 self._samples.append(Sample(at_ms, position))
 
     def newest(self) -> Sample | None:
--- a/bronzerelay/pooler/refusals.py
+++ b/bronzerelay/pooler/refusals.py
@@ -40,7 +40,7 @@
     return Refusal(code, answer.detail or code.name, UNKNOWN)
 
 
-def lose_transaction(detail: str) -> Refusal:
+def refuse_lost_transaction(detail: str) -> Refusal:
     """Return what a caller is told whose transaction ended without a commit."""
     message = f"The transaction has ended and nothing of it is kept: {detail}."
     return Refusal(Code.TRANSACTION_LOST, message, NOT_RUN, BUSY_RETRY_MS)
--- a/bronzerelay/pooler/session.py
+++ b/bronzerelay/pooler/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: a connection, what it has set, and its open transaction."""
+"""One caller's session: its connection, its state and its open transaction."""
 
 from typing import Any, NamedTuple
 
@@ -23,31 +23,34 @@
     Verb,
 )
 from bronzerelay.pooler.primaryguard import PrimaryGuard
-from bronzerelay.pooler.refusals import lose_transaction, refuse_fault
-from bronzerelay.pooler.runner import SLOT_WAIT_PART, Job, Runner
+from bronzerelay.pooler.refusals import refuse_fault, refuse_lost_transaction
+from bronzerelay.pooler.runner import SLOT_WAIT_FRACTION, Job, Runner
 from bronzerelay.runtime import Connection, Runtime, Signal
 
-# Values and prepared names of one session; more are refused to bound its memory.
-STATE_LIMIT = 500
-# How long a caller may take to read an answer, in milliseconds.
+# The most session values, and the most prepared names, of one session. More are refused
+# to bound its memory.
+MAX_SESSION_NAMES = 500
+# How long sending an answer may take, in milliseconds.
 SEND_TIMEOUT_MS = 5_000
-# While the daemon stops, a session that is silent for this long ends. Milliseconds;
-# longer than a caller pauses within a burst of operations.
-QUIET_MS = 250
-# How long a caller waits for the first configuration of a daemon that has just started,
-# in milliseconds. It is there some 20 after the start, and a caller that is refused has
-# to try elsewhere; where it isn't there by then, the store is out and others do better.
+# How long a session must be idle before it is closed while the daemon stops, in
+# milliseconds. Callers pause for less than that within a burst of operations.
+DRAIN_IDLE_MS = 250
+# How long a new session waits for the configuration when the daemon has just started, in
+# milliseconds. It is usually loaded about 20 ms after the start, and a refused caller
+# would have to retry at another daemon. If it takes longer than this, the store is
+# unavailable and other daemons can serve the caller better.
 FIRST_CONFIG_MS = 300
 FIRST_CONFIG_POLL_MS = 10
-# The part of an operation's latency objective that it may wait until its workspace's
-# rate allows it. The rest is for the instance; who would wait longer comes back.
-RATE_WAIT_PART = 0.2
-# Who a caller of a public route without a key of its own is to the instances.
-ANONYMOUS = "public"
+# The fraction of an operation's latency objective that it may wait until its workspace's
+# rate admits it. The rest is left for the instance; an operation that would have to wait
+# longer is refused with a time to retry.
+RATE_WAIT_FRACTION = 0.2
+# The workspace under which instances see callers of public routes whose key is unknown.
+ANONYMOUS_WORKSPACE = "public"
 
 
 class Services(NamedTuple):
-    """What every session of a daemon works with."""
+    """The components that all sessions of a daemon share."""
 
     runtime: Runtime
     codec: LineCodec
@@ -61,10 +64,10 @@
 
 
 class Transaction:
-    """An open transaction; the link is there from its first statement on.
+    """An open transaction; it has a link from its first statement on.
 
-    A caller that opens a transaction and thinks would hold one of the few connections
-    of an instance for nothing, so that BEGIN is sent together with what follows.
+    BEGIN is sent to an instance only when the first statement comes. Otherwise a caller
+    that pauses after BEGIN would occupy one of the few connections of an instance.
     """
 
     def __init__(self, route: Route, workspace: str, read_only: bool):
@@ -73,11 +76,11 @@
         self.read_only = read_only
         self.link: InstanceLink | None = None
         self.wrote = False
-        self.failed: Refusal | None = None
+        self.failure: Refusal | None = None
 
 
 class Reply(NamedTuple):
-    """What the caller is told, and where its session stands then."""
+    """The answer or refusal for the caller, and the position to report with it."""
 
     outcome: Answer | Refusal
     position: Position | None = None
@@ -102,7 +105,7 @@
     # The connection
 
     def run(self) -> None:
-        """Serve the caller until it leaves, breaks the protocol or must move on."""
+        """Serve the caller until it leaves, fails to start, or has to reconnect."""
         try:
             if self._start():
                 while self._serve_one():
@@ -112,10 +115,10 @@
                 "session", "A caller's connection ended.", error=str(error)
             )
         finally:
-            self._abandon()
+            self._roll_back_transaction()
             self._connection.close()
 
-    def _abandon(self) -> None:
+    def _roll_back_transaction(self) -> None:
         transaction, self._transaction = self._transaction, None
         if transaction is not None and transaction.link is not None:
             self._services.runner.roll_back(transaction.link)
@@ -164,24 +167,24 @@
             reason = message.reason if isinstance(message, Malformed) else "unexpected"
             reply = Reply(_refuse_protocol(reason))
         self._send_reply(reply)
-        return not self._should_move(reply)
+        return not self._should_reconnect(reply)
 
-    def _should_move(self, reply: Reply) -> bool:
-        """Return whether the caller does better to connect again.
+    def _should_reconnect(self, reply: Reply) -> bool:
+        """Return whether to close the connection so that the caller reconnects.
 
-        A long session would come back to a daemon that is cut off for as long as the
-        cut lasts, and use up its retries there. The balancer sends it elsewhere.
+        A caller that keeps its session with an isolated daemon would use up its retries
+        there. When it reconnects, the load balancer sends it to another daemon.
         """
         outcome = reply.outcome
         is_isolated = isinstance(outcome, Refusal) and outcome.code is Code.ISOLATED
-        is_idle = self._state() is TransactionState.IDLE
+        is_idle = self._transaction_state() is TransactionState.IDLE
         return is_isolated and is_idle and not self._reader.has_line()
 
     def _wait_for_statement(self) -> bool:
-        """Wait for the caller; return False when the session is to end.
+        """Wait for the next statement; return False when the session is to end.
 
-        While the daemon stops, a session ends between two operations: the caller
-        connects again elsewhere and nothing of it is cut.
+        While the daemon stops, a session ends between two operations, so that no
+        operation is interrupted when the caller reconnects to another daemon.
         """
         if self._reader.has_line():
             return True
@@ -195,45 +198,45 @@
         return True
 
     def _wait_between_operations(self) -> bool:
-        """Wait for an operation; return False when the caller should move on.
+        """Wait for an operation; return False when the session should be closed.
 
-        A session that was used a moment ago is likely to be used again, and what the
-        caller sends while this side closes would be lost on its way.
+        A session that was used recently is likely to be used again soon, and a
+        statement sent while this side closes the connection would be lost.
         """
         if self._connection.wait_readable(None, self._services.stopping):
             return True
-        return self._connection.wait_readable(QUIET_MS)
+        return self._connection.wait_readable(DRAIN_IDLE_MS)
 
     def _end_idle_transaction(self) -> None:
         transaction = self._transaction
-        if transaction is None or transaction.failed is not None:
+        if transaction is None or transaction.failure is not None:
             return
         self._services.log.write_request(
             "session",
-            "An idle transaction was ended.",
+            "An idle transaction was rolled back.",
             workspace=transaction.workspace,
             service=transaction.route.service,
         )
-        self._fail(lose_transaction("it was idle for too long"))
+        self._fail_transaction(refuse_lost_transaction("it was idle for too long"))
 
-    def _fail(self, refusal: Refusal) -> None:
+    def _fail_transaction(self, refusal: Refusal) -> None:
         transaction = self._transaction
         if transaction is None:
             return
-        transaction.failed = refusal
+        transaction.failure = refusal
         link, transaction.link = transaction.link, None
         if link is not None:
             self._services.runner.roll_back(link)
 
-    def _state(self) -> TransactionState:
+    def _transaction_state(self) -> TransactionState:
         if self._transaction is None:
             return TransactionState.IDLE
-        if self._transaction.failed is not None:
+        if self._transaction.failure is not None:
             return TransactionState.FAILED
         return TransactionState.OPEN
 
     def _send_reply(self, reply: Reply) -> None:
-        state = self._state()
+        state = self._transaction_state()
         if isinstance(reply.outcome, Refusal):
             data = self._codec.encode_refusal(reply.outcome)
             data += self._codec.encode_ready(state, reply.position)
@@ -244,9 +247,10 @@
     # Admission
 
     def _admit(self) -> tuple[Route, str] | Refusal:
-        """Return the session's route and workspace by the configuration in force.
+        """Return the session's route and workspace in the current configuration.
 
-        Keys are withdrawn while sessions stand open, so that each operation asks.
+        This is checked for each operation, since keys may be withdrawn while their
+        sessions are open.
         """
         config = self._services.directory.config
         if config is None:
@@ -265,19 +269,19 @@
     def _find_workspace(self, config: FleetConfig, route: Route) -> str | None:
         workspace = config.keys.get(self._key)
         if workspace is None and route.public:
-            return ANONYMOUS
+            return ANONYMOUS_WORKSPACE
         return workspace
 
-    def _spend(self, workspace: str, route: Route) -> Refusal | None:
-        patience_ms = route.objective_ms * RATE_WAIT_PART
-        grant = self._services.rates.spend(workspace, patience_ms)
-        if grant.admitted:
-            if grant.wait_ms > 0:
-                self._services.runtime.sleep_ms(grant.wait_ms)
+    def _apply_rate_limit(self, workspace: str, route: Route) -> Refusal | None:
+        max_wait_ms = route.objective_ms * RATE_WAIT_FRACTION
+        decision = self._services.rates.spend(workspace, max_wait_ms)
+        if decision.admitted:
+            if decision.wait_ms > 0:
+                self._services.runtime.sleep_ms(decision.wait_ms)
             return None
         inputs = self._services.rates.describe(workspace)
         message = f"The workspace {workspace} is over its rate: {inputs}."
-        return Refusal(Code.RATE_EXCEEDED, message, NOT_RUN, round(grant.wait_ms))
+        return Refusal(Code.RATE_EXCEEDED, message, NOT_RUN, round(decision.wait_ms))
 
     # Statements
 
@@ -287,9 +291,9 @@
             return local
         started_ms = self._clock.now_ms()
         if self._transaction is not None:
-            reply = self._continue(statement)
+            reply = self._continue_transaction(statement)
         else:
-            reply = self._run_alone(statement)
+            reply = self._run_outside_transaction(statement)
         if isinstance(reply.outcome, Refusal):
             self._log_refusal(statement, reply.outcome, started_ms)
         else:
@@ -298,37 +302,37 @@
         return reply
 
     def _answer_locally(self, statement: Statement) -> Reply | None:
-        """Answer what concerns the session alone; return None for all else."""
+        """Answer a statement that needs no instance; return None for all others."""
         verb = statement.verb
-        if self._state() is TransactionState.FAILED:
+        if self._transaction_state() is TransactionState.FAILED:
             if verb not in (Verb.COMMIT, Verb.ROLLBACK):
                 return Reply(_refuse_protocol("the transaction has failed"))
-            return self._end_failed(verb)
+            return self._end_failed_transaction(verb)
         if verb is Verb.SET:
-            return self._keep(self._values, statement.name, statement.value)
+            return self._store_name(self._values, statement.name, statement.value)
         if verb is Verb.PREPARE:
-            return self._keep(self._prepared, statement.name, statement.prepared)
+            return self._store_name(self._prepared, statement.name, statement.prepared)
         if verb is Verb.DEALLOCATE:
             self._prepared.pop(statement.name, None)
             return Reply(Answer())
         return None
 
-    def _keep(self, table: dict[str, Any], name: str, value: Any) -> Reply:
-        if name not in table and len(table) >= STATE_LIMIT:
-            return Reply(_refuse_protocol(f"more than {STATE_LIMIT} names"))
+    def _store_name(self, table: dict[str, Any], name: str, value: Any) -> Reply:
+        if name not in table and len(table) >= MAX_SESSION_NAMES:
+            return Reply(_refuse_protocol(f"more than {MAX_SESSION_NAMES} names"))
         table[name] = value
         return Reply(Answer())
 
-    def _end_failed(self, verb: Verb) -> Reply:
+    def _end_failed_transaction(self, verb: Verb) -> Reply:
         transaction, self._transaction = self._transaction, None
         if verb is Verb.ROLLBACK:
             return Reply(Answer())
-        refusal = transaction.failed if transaction else None
+        refusal = transaction.failure if transaction else None
         if refusal is None or refusal.ran != NOT_RUN:
-            refusal = lose_transaction("a statement of it failed")
+            refusal = refuse_lost_transaction("a statement of it failed")
         return Reply(refusal)
 
-    def _run_alone(self, statement: Statement) -> Reply:
+    def _run_outside_transaction(self, statement: Statement) -> Reply:
         verb = statement.verb
         if verb in (Verb.COMMIT, Verb.ROLLBACK):
             return Reply(_refuse_protocol("no transaction is open"))
@@ -340,7 +344,7 @@
             return Reply(admitted)
         route, workspace = admitted
         refusal = self._services.guard.refuse_if_isolated()
-        refusal = refusal or self._spend(workspace, route)
+        refusal = refusal or self._apply_rate_limit(workspace, route)
         if refusal is not None:
             return Reply(refusal)
         if verb in (Verb.BEGIN, Verb.BEGIN_READ_ONLY):
@@ -348,13 +352,13 @@
             self._transaction = Transaction(route, workspace, read_only)
             return Reply(Answer())
         job = self._make_job(statement, route, workspace)
-        own = self._own_commits.get(route.service)
-        outcome = self._services.runner.run_single(job, own)
+        own_commit = self._own_commits.get(route.service)
+        outcome = self._services.runner.run_single(job, own_commit)
         if isinstance(outcome, Refusal) and outcome.ran == NOT_RUN:
-            self._services.rates.give_back(workspace)
+            self._services.rates.refund(workspace)
         position = outcome.position if isinstance(outcome, Answer) else None
         if job.writes and position is not None:
-            self._note_commit(route.service, position)
+            self._record_own_commit(route.service, position)
         return Reply(outcome, position)
 
     def _make_job(self, statement: Statement, route: Route, workspace: str) -> Job:
@@ -369,89 +373,89 @@
             self._values,
             prepared,
             now_ms + route.timeout_ms,
-            now_ms + min(route.timeout_ms, route.objective_ms * SLOT_WAIT_PART),
+            now_ms + min(route.timeout_ms, route.objective_ms * SLOT_WAIT_FRACTION),
         )
 
-    def _note_commit(self, service: str, position: Position) -> None:
+    def _record_own_commit(self, service: str, position: Position) -> None:
         known = self._own_commits.get(service)
         self._own_commits[service] = max(known, position) if known else position
 
     # Transactions
 
-    def _continue(self, statement: Statement) -> Reply:
+    def _continue_transaction(self, statement: Statement) -> Reply:
         transaction = self._transaction
         assert transaction is not None
         verb = statement.verb
         if verb in (Verb.BEGIN, Verb.BEGIN_READ_ONLY):
             return Reply(_refuse_protocol("a transaction is open already"))
         if verb is Verb.ROLLBACK:
-            self._abandon()
+            self._roll_back_transaction()
             return Reply(Answer())
         admitted = self._admit()
         if isinstance(admitted, Refusal):
-            self._fail(admitted)
+            self._fail_transaction(admitted)
             return Reply(admitted)
         if verb is Verb.EXECUTE and statement.name not in self._prepared:
             refusal = _refuse_protocol(f"nothing is prepared as {statement.name}")
-            self._fail(refusal)
+            self._fail_transaction(refusal)
             return Reply(refusal)
         job = self._make_job(statement, transaction.route, transaction.workspace)
-        refusal = self._open(transaction, job)
+        refusal = self._open_transaction(transaction, job)
         if refusal is not None:
-            self._services.rates.give_back(transaction.workspace)
-            self._fail(refusal)
-            return self._end_with_commit(verb, Reply(refusal))
-        return self._run_inside(transaction, job)
+            self._services.rates.refund(transaction.workspace)
+            self._fail_transaction(refusal)
+            return self._end_if_commit(verb, Reply(refusal))
+        return self._run_in_transaction(transaction, job)
 
-    def _open(self, transaction: Transaction, job: Job) -> Refusal | None:
+    def _open_transaction(self, transaction: Transaction, job: Job) -> Refusal | None:
         """Open the transaction at an instance unless it is open there."""
         if transaction.link is not None:
             return None
-        own = self._own_commits.get(transaction.route.service)
-        began = self._services.runner.begin(job, transaction.read_only, own)
-        if isinstance(began, Refusal):
-            return began
-        transaction.link = began
+        own_commit = self._own_commits.get(transaction.route.service)
+        opened = self._services.runner.begin(job, transaction.read_only, own_commit)
+        if isinstance(opened, Refusal):
+            return opened
+        transaction.link = opened
         return None
 
-    def _run_inside(self, transaction: Transaction, job: Job) -> Reply:
+    def _run_in_transaction(self, transaction: Transaction, job: Job) -> Reply:
         link = transaction.link
         assert link is not None
         verb = job.statement.verb
         transaction.wrote = transaction.wrote or job.writes
         as_primary = not transaction.read_only
-        outcome = self._services.runner.run_inside(link, job, as_primary)
+        outcome = self._services.runner.run_in_transaction(link, job, as_primary)
         if isinstance(outcome, Answer) and outcome.fault is None:
             if verb is Verb.COMMIT:
-                self._finish(transaction, outcome)
+                self._finish_commit(transaction, outcome)
             return Reply(outcome, outcome.position)
         if isinstance(outcome, Answer):
             in_doubt = verb is Verb.COMMIT and transaction.wrote
-            outcome = self._describe_fault(outcome, in_doubt)
-        self._fail(outcome)
-        return self._end_with_commit(verb, Reply(outcome))
+            outcome = self._refuse_fault_in_transaction(outcome, in_doubt)
+        self._fail_transaction(outcome)
+        return self._end_if_commit(verb, Reply(outcome))
 
-    def _describe_fault(self, answer: Answer, in_doubt: bool) -> Refusal:
+    def _refuse_fault_in_transaction(self, answer: Answer, in_doubt: bool) -> Refusal:
         refusal = refuse_fault(answer, in_doubt)
-        # Before its commit was sent nothing of a transaction can be kept.
+        # A transaction can't have committed before its commit was sent.
         if refusal.code is Code.OUTCOME_UNKNOWN and not in_doubt:
-            return lose_transaction(answer.detail)
+            return refuse_lost_transaction(answer.detail)
         return refusal
 
-    def _finish(self, transaction: Transaction, answer: Answer) -> None:
+    def _finish_commit(self, transaction: Transaction, answer: Answer) -> None:
         if transaction.wrote and answer.position is not None:
-            self._note_commit(transaction.route.service, answer.position)
+            self._record_own_commit(transaction.route.service, answer.position)
         self._transaction = None
         if transaction.link is not None:
-            self._services.runner.end(transaction.link)
+            self._services.runner.release_link(transaction.link)
 
-    def _end_with_commit(self, verb: Verb, reply: Reply) -> Reply:
-        """End a failed transaction at once when it was the commit that failed."""
+    def _end_if_commit(self, verb: Verb, reply: Reply) -> Reply:
+        """End the failed transaction if the statement was its commit."""
         if verb is Verb.COMMIT:
             self._transaction = None
         return reply
 
-    # Records
+    # Logs and counters
 
     def _log_refusal(
         self, statement: Statement, refusal: Refusal, started_ms: float
@@ -468,7 +472,7 @@
         workspace = config.keys.get(self._key, "") if config else ""
         route = directory.find_route(self._database)
         service = route.service if route else ""
-        leader = directory.find_primary(service)
+        primary = directory.find_primary(service)
         self._services.counters.count(
             "refusals", code=refusal.code.name.lower(), ran=refusal.ran
         )
@@ -481,7 +485,7 @@
             workspace=workspace,
             database=self._database,
             service=service,
-            primary=leader.id if leader else "none",
+            primary=primary.id if primary else "none",
             code=int(refusal.code),
             reason=refusal.code.name.lower(),
             ran=refusal.ran,
--- a/bronzerelay/pooler/sources.py
+++ b/bronzerelay/pooler/sources.py
@@ -17,18 +17,18 @@
     """Operations of a workspace that were admitted, and asked for, in all."""
 
     admitted: int
-    asked: int
+    requested: int
 
     def minus(self, other: "Tally") -> "Tally":
         """Return what was added since `other`."""
-        return Tally(self.admitted - other.admitted, self.asked - other.asked)
+        return Tally(self.admitted - other.admitted, self.requested - other.requested)
 
     def plus(self, other: "Tally") -> "Tally":
         """Return both together."""
-        return Tally(self.admitted + other.admitted, self.asked + other.asked)
+        return Tally(self.admitted + other.admitted, self.requested + other.requested)
 
 
-NOTHING = Tally(0, 0)
+ZERO_TALLY = Tally(0, 0)
 
 
 class Scope(enum.IntEnum):
@@ -42,13 +42,13 @@
 class Report(NamedTuple):
     """What a daemon tells: all tallies, or those that changed lately.
 
-    `heard` of the `members` that it stands for were heard of by the sender.
+    `reachable` of the `members` that it stands for were heard of by the sender.
     """
 
-    whole: bool
+    full: bool
     tallies: dict[str, Tally]
     scope: Scope = Scope.OWN
-    heard: int = 1
+    reachable: int = 1
     members: int = 1
 
 
@@ -69,16 +69,16 @@
     def __init__(self, group: SourceGroup, now_ms: float):
         self.group = group
         # A new one counts as heard of: it begins with nothing.
-        self.heard_at_ms = now_ms
+        self.last_report_ms = now_ms
         self.current: str | None = None
-        self.heard = group.members
+        self.reachable = group.members
         self.members = group.members
 
     def is_silent(self, now_ms: float) -> bool:
         """Return whether it may spend unheard."""
-        return now_ms - self.heard_at_ms > SILENT_MS
+        return now_ms - self.last_report_ms > SILENT_MS
 
-    def believes(self, peer: str, now_ms: float) -> bool:
+    def accepts(self, peer: str, now_ms: float) -> bool:
         """Return whether a peer's word counts; the first one's does until silence.
 
         Two relays tell the same operations, and both counted would be twice as many.
@@ -87,11 +87,11 @@
             self.current = peer
         return self.current == peer
 
-    def note(self, report: Report, heard_at_ms: float) -> None:
-        """Note a report that counts from `heard_at_ms`."""
-        self.heard_at_ms = max(self.heard_at_ms, heard_at_ms)
+    def add_report(self, report: Report, last_report_ms: float) -> None:
+        """Note a report that counts from `last_report_ms`."""
+        self.last_report_ms = max(self.last_report_ms, last_report_ms)
         if self.group.scope is not Scope.OWN:
-            self.heard = report.heard
+            self.reachable = report.reachable
             self.members = report.members
 
 
@@ -104,10 +104,10 @@
         self.complete = complete
         self.tallies: dict[str, Tally] = {}
         # What of it was counted here.
-        self.counted: dict[str, Tally] = {}
+        self.applied: dict[str, Tally] = {}
 
 
-class Sum(NamedTuple):
+class TallySum(NamedTuple):
     """What was counted of several peers, and when it last grew."""
 
     tally: Tally
--- a/lab/poolermutations.py
+++ b/lab/poolermutations.py
@@ -91,9 +91,9 @@
         "each operation is judged by the key's state now",
         POOLER + "session.py",
         "        admitted = self._admit()\n        if isinstance(admitted, Refusal):\n"
-        "            self._fail(admitted)",
+        "            self._fail_transaction(admitted)",
         "        admitted = None\n        if isinstance(admitted, Refusal):\n"
-        "            self._fail(admitted)",
+        "            self._fail_transaction(admitted)",
         PATH + "TestAdmission",
     ),
     Mutation(
@@ -122,12 +122,12 @@
         POOLER + "positions.py",
         "if sample.at_ms >= oldest_ms:",
         "if True:",
-        "tests/test_placement.py::TestNeed",
+        "tests/test_placement.py::TestReadRequirement",
     ),
     Mutation(
         "what a silent daemon may spend is set aside",
         POOLER + "fleetrates.py",
-        "return heard / members",
+        "return reachable / members",
         "return 1.0",
         "tests/test_fleetrates.py",
     ),
@@ -197,16 +197,16 @@
     Mutation(
         "samples of a former primary are forgotten",
         POOLER + "positions.py",
-        "            self._samples.clear()\n            self.own = None",
+        "            self._samples.clear()\n            self.newest_own = None",
         "            pass",
-        "tests/test_placement.py::TestNeed",
+        "tests/test_placement.py::TestReadRequirement",
     ),
     Mutation(
         "an own commit of a former primary holds up no read",
         POOLER + "placement.py",
-        "own_matters and own_commit and not self._is_replaced(route, own_commit)",
-        "own_matters and own_commit",
-        "tests/test_placement.py::TestNeed",
+        "reads_own and own_commit and not self._predates_primary(route, own_commit)",
+        "reads_own and own_commit",
+        "tests/test_placement.py::TestReadRequirement",
     ),
     Mutation(
         "the end of the last use of a primary is told",
@@ -218,7 +218,7 @@
     Mutation(
         "a link that is being opened is no use of a primary",
         POOLER + "runner.py",
-        "        if not as_primary:\n            return act()\n        refusal",
+        "        if not as_primary:\n            return action()\n        refusal",
         "        refusal",
         PATH + "TestChangesOfPrimary",
     ),
@@ -232,21 +232,21 @@
     Mutation(
         "daemons share the slots of an instance",
         POOLER + "runner.py",
-        "return min(slots, max(1, math.ceil(STATEMENTS_A_SLOT * slots / daemons)))",
+        "return min(slots, max(1, math.ceil(STATEMENTS_PER_SLOT * slots / daemons)))",
         "return slots",
         PATH + "TestManyDaemons",
     ),
     Mutation(
         "a busy primary is asked again on the same link",
         POOLER + "runner.py",
-        "if not place.as_primary or self._clock.now_ms() >= job.slot_by_ms:",
+        "if not slot.as_primary or self._clock.now_ms() >= job.slot_deadline_ms:",
         "if True:",
         PATH + "TestManyDaemons",
     ),
     Mutation(
         "an operation that is due in a moment waits for it",
         POOLER + "fleetrates.py",
-        "if due_ms > (0.0 if is_flooded else patience_ms):",
+        "if due_ms > (0.0 if is_over_rate else max_wait_ms):",
         "if due_ms > 0:",
         "tests/test_fleetrates.py::TestInsideTheRate",
     ),
--- a/tests/test_fleetrates.py
+++ b/tests/test_fleetrates.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bronzerelay.pooler.fleetrates import FIRST_TOKENS, ROUND_MS, FleetRates
+from bronzerelay.pooler.fleetrates import INITIAL_TOKENS, PROPAGATION_MS, FleetRates
 from bronzerelay.pooler.sources import SILENT_MS, Report, Tally
 from bronzerelay.runtime import Random
 from tests.builders_pooler import ManualClock, make_runtime, make_workspace
@@ -16,10 +16,10 @@
 class Fleet:
     """Daemons' rates on one clock, with reports that a test can hold back."""
 
-    def __init__(self, count=DAEMONS, rate=RATE, burst=BURST, patience_ms=0.0):
+    def __init__(self, count=DAEMONS, rate=RATE, burst=BURST, max_wait_ms=0.0):
         self.clock = ManualClock()
         # How long callers may wait at a daemon until the rate allows them.
-        self.patience_ms = patience_ms
+        self.max_wait_ms = max_wait_ms
         runtime = make_runtime(self.clock)
         self.names = [f"d{number}" for number in range(count)]
         self.rates = {name: FleetRates(runtime, name) for name in self.names}
@@ -58,7 +58,7 @@
         while self.clock.now_ms() < end_ms:
             self.clock.sleep_ms(STEP_MS)
             now_ms = self.clock.now_ms()
-            turn += len(self.names) * STEP_MS / ROUND_MS
+            turn += len(self.names) * STEP_MS / PROPAGATION_MS
             while turn >= 1:
                 turn -= 1
                 self.report_of(self.names[0])
@@ -70,9 +70,9 @@
             )
             for tries in due:
                 daemon = self.rates[chance.choice(self.names)]
-                grant = daemon.spend("north", self.patience_ms)
-                if grant.admitted:
-                    admitted.append(now_ms + grant.wait_ms)
+                decision = daemon.spend("north", self.max_wait_ms)
+                if decision.admitted:
+                    admitted.append(now_ms + decision.wait_ms)
                 elif tries < retries:
                     waiting.append((now_ms + 50, tries + 1))
                 else:
@@ -86,7 +86,7 @@
         end_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < end_ms:
             self.clock.sleep_ms(STEP_MS)
-            if self.clock.now_ms() - self._reported_ms >= ROUND_MS:
+            if self.clock.now_ms() - self._reported_ms >= PROPAGATION_MS:
                 self._reported_ms = self.clock.now_ms()
                 self.report()
             for name in self.names:
@@ -244,7 +244,7 @@
         fleet.play(1500, lambda name: 0)
         for _ in range(200):
             if fleet.rates["d0"].spend("north").admitted:
-                fleet.rates["d0"].give_back("north")
+                fleet.rates["d0"].refund("north")
         fleet.report()
         admitted, refused = fleet.play(500, lambda name: 0.4 * RATE)
         assert (len(admitted) > 0, refused) == (True, 0)
@@ -255,7 +255,7 @@
         fleet = Fleet(1)
         rates = fleet.rates["d0"]
         admitted = sum(rates.spend("north").admitted for _ in range(50))
-        assert admitted == FIRST_TOKENS
+        assert admitted == INITIAL_TOKENS
 
     def test_thawed_daemon_doesnt_spend_what_the_others_spent(self):
         # A daemon is frozen for long. Its bucket would fill with the whole rate of that
@@ -274,17 +274,17 @@
         rates = fleet.rates["d0"]
         assert rates.spend("north").admitted
         fleet.clock.sleep_ms(1)
-        grant = rates.spend("north", 40)
-        assert grant.admitted
-        assert 0 < grant.wait_ms <= 2
+        decision = rates.spend("north", 40)
+        assert decision.admitted
+        assert 0 < decision.wait_ms <= 2
         # What it takes before it is due is owed: a third caller waits for it, too.
-        assert rates.spend("north", 40).wait_ms > grant.wait_ms
+        assert rates.spend("north", 40).wait_ms > decision.wait_ms
 
     @pytest.mark.parametrize("rate", [2, 10, 100])
     def test_flood_that_waits_for_its_turn_stays_inside_the_rate(self, rate):
         # Callers of a flood may wait for what is due. Each of forty daemons would lend
         # out the same operation before it hears of the others.
-        fleet = Fleet(MANY, rate, rate, patience_ms=80)
+        fleet = Fleet(MANY, rate, rate, max_wait_ms=80)
         fleet.play_callers(6000, 0.6 * rate)
         admitted, _ = fleet.play_callers(12_000, 5 * rate, retries=2)
         assert count_most(admitted) <= (rate * 5 + rate) * 1.1 + 20
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -26,12 +26,12 @@
     return LinkPool(group.runtime, CODEC)
 
 
-def lend(group, pool, workspace="north", values=NOTHING):
+def acquire(group, pool, workspace="north", values=NOTHING):
     instance = group.instances["orders-0"]
     entry = make_instance("orders-0", claims_primary=True, address=instance.address)
     deadline_ms = group.runtime.clock.now_ms() + 2000
-    link = pool.lend(entry, workspace, values, deadline_ms)
-    link.adopt(values, None)
+    link = pool.acquire(entry, workspace, values, deadline_ms)
+    link.apply_session_state(values, None)
     return link
 
 
@@ -41,61 +41,61 @@
 
 class TestPool:
     def test_link_is_lent_again_to_the_same_workspace_only(self, group, pool):
-        link = lend(group, pool)
-        pool.give_back(link, 2)
-        assert lend(group, pool, "south") is not link
-        assert lend(group, pool) is link
+        link = acquire(group, pool)
+        pool.release(link, 2)
+        assert acquire(group, pool, "south") is not link
+        assert acquire(group, pool) is link
 
     def test_link_with_an_open_transaction_isnt_lent_again(self, group, pool):
         # A task ends between BEGIN and the end of its transaction. The next statement
         # on the link would run inside a transaction of somebody else.
-        link = lend(group, pool)
+        link = acquire(group, pool)
         call(group, link, "BEGIN")
-        pool.give_back(link, 2)
+        pool.release(link, 2)
         assert not link.usable
-        assert lend(group, pool) is not link
+        assert acquire(group, pool) is not link
         assert pool.count_open("orders-0") == 1
 
     def test_link_that_the_instance_closed_isnt_lent_again(self, group, pool):
-        link = lend(group, pool)
-        pool.give_back(link, 2)
+        link = acquire(group, pool)
+        pool.release(link, 2)
         group.instances["orders-0"].cut_links()
         group.runtime.clock.sleep_ms(50)
-        assert lend(group, pool) is not link
+        assert acquire(group, pool) is not link
 
     def test_idle_links_are_bounded(self, group, pool):
-        links = [lend(group, pool) for _ in range(4)]
+        links = [acquire(group, pool) for _ in range(4)]
         for link in links:
-            pool.give_back(link, 1)
+            pool.release(link, 1)
         assert pool.count_open("orders-0") == 1
 
     def test_broken_links_wake_who_waits_on_them(self, group, pool):
         # A dead primary answers nothing, and a change of primary would wait for the
         # timeouts of all that was sent to it.
         group.instances["orders-0"].silent = True
-        link = lend(group, pool)
+        link = acquire(group, pool)
         waiting = group.runtime.start(call, group, link, "FETCH a")
         group.runtime.clock.sleep_ms(50)
-        pool.break_links("orders-0")
+        pool.close_all("orders-0")
         assert waiting.result(0.5).fault is Fault.LOST
 
     def test_instance_without_room(self, group, pool):
         group.instances["orders-0"].refuse_links = True
         with pytest.raises(LinkError) as caught:
-            lend(group, pool)
+            acquire(group, pool)
         assert caught.value.fault is Fault.TOO_MANY_LINKS
 
 
 class TestState:
     def test_values_are_replaced_and_wiped(self, group, pool):
-        link = lend(group, pool, values={"a": "1", "b": "2"})
-        link.adopt({"a": "3"}, None)
+        link = acquire(group, pool, values={"a": "1", "b": "2"})
+        link.apply_session_state({"a": "3"}, None)
         call(group, link, "FETCH x")
         assert group.runs[-1].values == (("a", "3"),)
 
     def test_statement_is_prepared_once(self, group, pool):
-        link = lend(group, pool)
-        link.adopt(NOTHING, Prepared(False, "q"))
+        link = acquire(group, pool)
+        link.apply_session_state(NOTHING, Prepared(False, "q"))
         answer = call(group, link, "EXECUTE r_q x")
         assert answer.fault is None
-        assert link._list_steps(NOTHING, Prepared(False, "q")) == []
+        assert link._list_setup_statements(NOTHING, Prepared(False, "q")) == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 from bronzerelay.pooler.fleetconfig import Consistency
 from bronzerelay.pooler.messages import Position
-from bronzerelay.pooler.placement import POSITION_AGE_MS, Placement, ReadNeed
+from bronzerelay.pooler.placement import POSITION_VALID_MS, Placement, ReadRequirement
 from bronzerelay.pooler.positions import AGE_MARGIN_MS, LogPositions
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
@@ -36,29 +36,29 @@
     return Placement(runtime, directory)
 
 
-def list_readers(placement, need, tried=frozenset(), has_proof=True):
-    return placement.list_readers(SERVICE, need, tried, has_proof)
+def list_candidates(placement, requirement, tried=frozenset(), has_proof=True):
+    return placement.list_candidates(SERVICE, requirement, tried, has_proof)
 
 
-class TestNeed:
+class TestReadRequirement:
     def test_strict_reads_need_the_primary(self, placement):
-        assert placement.work_out_need(make_route(), None).primary_only
+        assert placement.find_requirement(make_route(), None).primary_only
 
     def test_without_a_sample_only_the_primary_is_young_enough(self, placement):
-        assert placement.work_out_need(AGED, None).primary_only
+        assert placement.find_requirement(AGED, None).primary_only
 
     def test_floor_is_the_oldest_sample_that_is_young_enough(self, placement, clock):
         positions = placement.positions_of(SERVICE)
         for number in range(10):
             positions.add_sample(clock.now_ms(), Position(1, number))
             clock.sleep_ms(300)
-        floor = placement.work_out_need(AGED, None).floor
+        floor = placement.find_requirement(AGED, None).floor
         assert floor == Position(1, 6)
 
     def test_own_commit_raises_the_floor(self, placement, clock):
         placement.positions_of(SERVICE).add_sample(clock.now_ms(), Position(1, 3))
-        need = placement.work_out_need(OWN, Position(1, 9))
-        assert need.floor == Position(1, 9)
+        requirement = placement.find_requirement(OWN, Position(1, 9))
+        assert requirement.floor == Position(1, 9)
 
     def test_own_commit_of_a_former_primary_holds_up_no_read(self, placement, clock):
         # A commit was acknowledged and lost when its primary crashed, and nothing was
@@ -67,10 +67,10 @@
         placement._directory.set_primary_record(make_primary_record(1))
         positions = placement.positions_of(SERVICE)
         positions.add_sample(clock.now_ms(), Position(1, 71))
-        need = placement.work_out_need(OWN, Position(1, 90))
-        assert need.floor == Position(1, 71)
-        need = placement.work_out_need(OWN, Position(2, 90))
-        assert need.floor == Position(2, 90)
+        requirement = placement.find_requirement(OWN, Position(1, 90))
+        assert requirement.floor == Position(1, 71)
+        requirement = placement.find_requirement(OWN, Position(2, 90))
+        assert requirement.floor == Position(2, 90)
 
     def test_samples_of_a_former_primary_are_forgotten(self, placement, clock):
         # What they name may be in no log any more. Reads of a stated age would be
@@ -78,7 +78,7 @@
         positions = placement.positions_of(SERVICE)
         positions.add_own_sample(clock.now_ms(), Position(1, 90))
         positions.reset()
-        assert placement.work_out_need(AGED, None).primary_only
+        assert placement.find_requirement(AGED, None).primary_only
         assert placement.list_samples(0, own=True) == {}
 
     def test_sample_counts_from_when_it_was_asked_for(self, clock):
@@ -90,34 +90,36 @@
         assert positions.find_floor(2000 + AGE_MARGIN_MS) == Position(1, 3)
 
 
-class TestReaders:
-    need = ReadNeed(Position(1, 5), False)
+class TestCandidates:
+    requirement = ReadRequirement(Position(1, 5), False)
 
     def test_replicas_come_first(self, placement):
-        assert set(list_readers(placement, self.need)[:2]) == {FIRST, SECOND}
+        assert set(list_candidates(placement, self.requirement)[:2]) == {FIRST, SECOND}
 
     def test_replica_that_lacks_the_position_is_left_out(self, placement, clock):
         entry = make_instance(FIRST)
         placement.record_position(entry, Position(1, 4), clock.now_ms())
-        assert FIRST not in list_readers(placement, self.need)
-        clock.sleep_ms(POSITION_AGE_MS + 1)
-        assert FIRST in list_readers(placement, self.need)
+        assert FIRST not in list_candidates(placement, self.requirement)
+        clock.sleep_ms(POSITION_VALID_MS + 1)
+        assert FIRST in list_candidates(placement, self.requirement)
 
     def test_slow_replica_comes_later(self, placement):
         for _ in range(20):
             placement.record_answer(make_instance(PRIMARY), 5)
             placement.record_answer(make_instance(FIRST), 50)
             placement.record_answer(make_instance(SECOND), 5)
-        assert list_readers(placement, self.need)[0] == SECOND
+        assert list_candidates(placement, self.requirement)[0] == SECOND
 
     def test_replica_out_of_reach_comes_last(self, placement, clock):
         placement.record_failure(make_instance(FIRST), clock.now_ms())
-        assert list_readers(placement, self.need)[-1] == FIRST
+        assert list_candidates(placement, self.requirement)[-1] == FIRST
 
     def test_primary_without_a_proof_isnt_read(self, placement):
-        assert PRIMARY not in list_readers(placement, self.need, has_proof=False)
+        assert PRIMARY not in list_candidates(
+            placement, self.requirement, has_proof=False
+        )
 
     def test_tried_ones_are_left_out(self, placement):
-        assert list_readers(placement, self.need, frozenset([FIRST, SECOND])) == [
-            PRIMARY
-        ]
+        assert list_candidates(
+            placement, self.requirement, frozenset([FIRST, SECOND])
+        ) == [PRIMARY]
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -5,9 +5,9 @@
 from bronzerelay.pooler import contacts, session
 from bronzerelay.pooler.httpcalls import HttpCallError
 from bronzerelay.pooler.mirror import BATCH_PAUSE_MS
-from bronzerelay.pooler.placement import POSITION_AGE_MS
+from bronzerelay.pooler.placement import POSITION_VALID_MS
 from bronzerelay.pooler.primarychanges import CLOSE_ENTRIES
-from bronzerelay.pooler.runner import share_slots
+from bronzerelay.pooler.runner import limit_statements
 from bronzerelay.runtime import Address
 from standins.linecaller import LineCaller
 from standins.linegroup import LOCAL
@@ -158,7 +158,7 @@
         caller = open_session(fleet, AGED)
         run_ok(open_session(fleet, STRICT), "STORE row one")
         # What a replica was seen to lack counts for a while.
-        fleet.runtime.clock.sleep_ms(POSITION_AGE_MS + 50)
+        fleet.runtime.clock.sleep_ms(POSITION_VALID_MS + 50)
         for _ in range(10):
             run_ok(caller, "FETCH row")
         reads = [run for run in fleet.platform.group.runs if "FETCH" in run.text]
@@ -307,8 +307,8 @@
         # Seventy daemons that keep one idle link each take 70 of the 74 connections of
         # an instance, and statements are refused for want of one.
         daemon = fleet.start_ready("d1")[0]
-        daemon.runner.set_daemons(daemons)
-        assert daemon.runner.keep_links(SERVICE) == kept
+        daemon.runner.set_daemon_count(daemons)
+        assert daemon.runner.max_idle_links(SERVICE) == kept
         caller = open_session(fleet, STRICT)
         run_ok(caller, "FETCH a")
         assert daemon.pool.count_open("orders-0") == min(kept, 1)
@@ -319,13 +319,13 @@
     def test_share_of_an_instances_slots(self, slots, daemons, share):
         # Seventy daemons take all five slots of a primary for theirs. It gets several
         # hundred statements at once, refuses most, and they all come back.
-        assert share_slots(slots, daemons) == share
+        assert limit_statements(slots, daemons) == share
 
     def test_busy_primary_is_asked_again_on_the_same_link(self, fleet):
         # A primary has no slot just now. Each new link would take one itself, so that
         # those who wait would keep it busy.
         daemon = fleet.start_ready("d1")[0]
-        daemon.runner.set_daemons(70)
+        daemon.runner.set_daemon_count(70)
         caller = open_session(fleet, STRICT)
         opened = daemon.pool.opened
         fleet.platform.group.instances["orders-0"].busy_answers = 3
