--- a/bronzerelay/pooler/counters.py
+++ b/bronzerelay/pooler/counters.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms, as one text page for the metrics address.
+"""Counters and latency histograms, rendered in the Prometheus text format.
 
-`prometheus-client` takes 12 MB of a process for this page (resident size after the
-import, measured on Linux with Python 3.11), so that its text format is written here.
+The format is written here because importing `prometheus-client` adds 12 MB to the
+resident size of a process (measured on Linux with Python 3.11).
 """
 
 from hdrh.histogram import HdrHistogram
@@ -9,12 +9,13 @@
 from bronzerelay.runtime import Runtime
 
 PREFIX = "bronzerelay_"
-# Latencies are kept in microseconds, from 1 µs to a minute, to two digits.
+# Latencies are recorded in microseconds, from 1 µs to a minute, with two digits.
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
 DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-# Labels come from callers, too; without a bound they would fill the memory.
+# The most label sets of a counter, and the most histograms. Labels may come from
+# callers and would otherwise exhaust the memory.
 LABEL_LIMIT = 512
 OVERFLOW_LABELS = (("other", "1"),)
 
@@ -22,7 +23,7 @@
 
 
 class Counters:
-    """All that one daemon counts; every method may be called from any task."""
+    """The counters and histograms of one daemon; safe to call from any task."""
 
     def __init__(self, runtime: Runtime):
         self._lock = runtime.make_lock()
@@ -51,7 +52,7 @@
             histogram.record_value(value_us)
 
     def render(self, gauges: dict[str, float]) -> bytes:
-        """Return the page, with `gauges` as they stand now."""
+        """Return the page, including the current values of `gauges`."""
         lines = [f"{PREFIX}{name} {value:g}" for name, value in gauges.items()]
         with self._lock:
             for name, counts in sorted(self._counts.items()):
--- a/bronzerelay/pooler/daemon.py
+++ b/bronzerelay/pooler/daemon.py
@@ -1,4 +1,4 @@
-"""A pooler daemon: builds the parts, runs them, and stops without cutting a request."""
+"""The pooler daemon: builds and runs its components, and stops gracefully."""
 
 import os
 import signal
@@ -47,75 +47,76 @@
     TaskLimitError,
 )
 
-# Time between two rounds of upkeep, in milliseconds.
+# The time between two rounds of upkeep, in milliseconds.
 UPKEEP_MS = 250
 METRICS_PATH = "/metrics"
 READY_PATH = "/-/readyz"
-# The part of the time that an instance has for leaving in which its lead is used. What
-# is sent at the end of it still has to arrive.
+# The fraction of the drain time during which a leaving instance is still used as the
+# primary. Statements that are sent at the end of it still have to arrive in time.
 LEAVING_USE_FRACTION = 0.7
-# Tasks besides those of callers.
+# The most tasks besides those of callers' sessions.
 BACKGROUND_TASKS = 80
-# The grace before the kill is divided: until the first part new callers are served,
-# for the balancer takes two missed questions, a second apart, to send them elsewhere;
-# until the second what is open may end, and then the process does.
+# Fractions of the grace period between the stop signal and the kill. Until the first
+# one new callers are still accepted, since the load balancer sends them elsewhere only
+# after two failed health checks, a second apart. Until the second one open sessions may
+# end; then the process exits.
 ACCEPT_FRACTION = 0.42
 EXIT_FRACTION = 0.75
 STOP_POLL_MS = 50
 
 
 class PoolerSettings(NamedTuple):
-    """Where a daemon listens and what it is bound to; times in milliseconds."""
+    """The addresses, names and limits of a daemon; times are in milliseconds."""
 
     name: str
     frontend: Address
     ready: Address
-    # For peers: heartbeats over UDP and pages over TCP, at the same port.
+    # For peers: heartbeats over UDP and pages over TCP, on the same port.
     peer: Address
     metrics: Address | None
-    # Where peers may be asked before any is known.
+    # Addresses to ask for the state of a peer before any peer is known.
     seeds: tuple[Address, ...]
-    # Where this daemon may be asked as a seed.
+    # The address at which this daemon serves as a seed.
     admin: Address | None
     grace_ms: float
-    # How long an instance that leaves may still get requests.
+    # How long a leaving instance may still get requests.
     drain_ms: float
-    # How soon after its acknowledgement a configuration has to be in force.
+    # How soon after the store acknowledged a configuration it must be in force.
     apply_within_ms: float
     max_sessions: int
-    # The failure domain that the VM stands in.
+    # The failure domain of the VM.
     domain: str = ""
 
 
 class RecordReader(Protocol):
-    """How the platform's items are read."""
+    """Decodes the platform's store items."""
 
     def read_config(self, item: Item) -> FleetConfig | None:
-        """Return the configuration if the item holds one; raise ValueError."""
+        """Return the configuration, None if it was removed; or raise ValueError."""
 
     def read_instance(self, item: Item) -> InstanceEntry | None:
-        """Return the instance if the item holds one; raise ValueError."""
+        """Return the instance, None if it was removed; or raise ValueError."""
 
     def is_config(self, key: str) -> bool:
         """Return whether the key is that of the configuration."""
 
     def find_instance_id(self, key: str) -> str | None:
-        """Return the id of the instance that the key is for, or None."""
+        """Return the id of the instance that the key belongs to, or None."""
 
 
 class Plugins(NamedTuple):
-    """What an adapter brings for its platform."""
+    """The functions that an adapter provides for its platform."""
 
     codec: LineCodec
     store: Store
     records: RecordReader
     promote: Promoter
-    # Returns the settings when they have changed, else None; raises ValueError.
+    # Returns the settings if they have changed, else None; raises ValueError.
     read_changed_settings: Callable[[], PoolerSettings | None]
 
 
 class PoolerDaemon:
-    """A whole daemon in one process."""
+    """A complete daemon with all its components."""
 
     def __init__(self, runtime: Runtime, settings: PoolerSettings, plugins: Plugins):
         self._runtime = runtime
@@ -226,17 +227,17 @@
     # Pages
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         return (
             not self.is_stopping
             and self.directory.config is not None
-            # Cut off it could serve little, and others serve its callers.
+            # An isolated daemon could serve little; others can serve its callers.
             and self.guard.refuse_if_isolated() is None
             and bool(self.directory.instances)
         )
 
     def get_page(self, path: str) -> HttpResponse:
-        """Return the page at a path."""
+        """Return the response for a path."""
         path, _, query = path.partition("?")
         if path == READY_PATH:
             return HttpResponse(200 if self.is_ready() else 503, b"")
@@ -261,7 +262,7 @@
             "tasks": self._runtime.running_tasks(),
         }
 
-    # What the store brings
+    # Applying changes from the store
 
     def _apply_item(self, item: Item) -> None:
         records = self._plugins.records
@@ -278,7 +279,7 @@
             if instance_id is not None:
                 self._apply_instance(instance_id, item)
         except (ValueError, msgspec.DecodeError) as error:
-            # Other writers may put anything there; the rest of the list holds.
+            # Other programs may write invalid items; the remaining ones still apply.
             self.log.write(
                 "records", "An item can't be used.", key=item.key, error=str(error)
             )
@@ -302,7 +303,8 @@
         if record.settled:
             self.placement.positions_of(record.service).reset()
         elif not record.planned:
-            # A dead primary answers nothing, and the change would wait for timeouts.
+            # A dead primary doesn't answer, and the failover would wait until all
+            # statements sent to it time out.
             self.pool.close_all(record.deposed)
         self.gossip.send_now()
 
@@ -318,15 +320,18 @@
             try:
                 self._run_upkeep()
             except Exception:
-                # One round that fails must not end all later ones: members, changes of
-                # primary and idle links would be left as they are without a word.
-                self.log.write("daemon", "Upkeep failed.", trace=traceback.format_exc())
+                # A failed round must not end the loop: members, primary changes and
+                # idle links would silently stop being maintained.
+                self.log.write(
+                    "daemon", "A round of upkeep failed.", trace=traceback.format_exc()
+                )
 
     def _run_upkeep(self) -> None:
         members = self.members.update()
         if members is not None:
             self._apply_members(members)
-        # One that said it was stopping admits nothing once it is silent.
+        # Once a member that announced its stop is silent it admits nothing, so no part
+        # of the rates is set aside for it.
         serving = self.members.list_serving()
         self.rates.set_sources(self.heartbeats.list_sources(serving))
         self.catch_up.check_peers()
@@ -342,7 +347,7 @@
         self.pool.close_unused(self.directory.is_listed)
 
     def _reload(self) -> None:
-        """Take over changed settings; what can't be used leaves the old ones."""
+        """Apply changed settings; keep the old ones if the new ones are invalid."""
         requested, self.reload_requested = self.reload_requested, False
         try:
             settings = self._plugins.read_changed_settings()
@@ -394,7 +399,9 @@
         try:
             self._runtime.start(self._run_session, session)
         except TaskLimitError as error:
-            self.log.write_request("front", "No task for a caller.", error=str(error))
+            self.log.write_request(
+                "front", "No task is free for a new session.", error=str(error)
+            )
             self._remove_session(session)
             connection.close()
 
@@ -408,10 +415,10 @@
         with self._lock:
             self._sessions.discard(session)
 
-    # Life
+    # Lifecycle
 
     def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         self.log.write(
             "daemon", "The daemon starts.", incarnation=self.gossip.incarnation
         )
@@ -432,7 +439,7 @@
         run(self._accept)
 
     def stop(self) -> None:
-        """Serve what is there and what still comes, then end within the grace."""
+        """Drain: keep serving at first, let sessions end, stop in the grace period."""
         started_ms = self._clock.now_ms()
         grace_ms = self._settings.grace_ms
         self.log.write(
@@ -459,7 +466,7 @@
     stop_requested = runtime.make_signal()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop_requested.set())
-    # Before the parts are there: the signal's own effect is to end the process.
+    # Ignored until the daemon exists: the default action would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     daemon = PoolerDaemon(runtime, settings, plugins)
 
@@ -475,10 +482,10 @@
     daemon.start()
     stop_requested.wait()
     daemon.stop()
-    # Interpreter exit joins all tasks, and some wait for bytes that never come.
+    # A normal exit would join all tasks, and some wait for data that never arrives.
     os._exit(0)
 
 
 def max_tasks(settings: PoolerSettings) -> int:
-    """Return how many tasks a daemon with these settings may need."""
+    """Return the most tasks that a daemon with these settings may run."""
     return settings.max_sessions + BACKGROUND_TASKS
--- a/bronzerelay/pooler/fleetconfig.py
+++ b/bronzerelay/pooler/fleetconfig.py
@@ -1,4 +1,4 @@
-"""The configuration that the pooler goes by, and the list of instances."""
+"""The types of the pooler's configuration and of the instance list."""
 
 import enum
 from typing import NamedTuple
@@ -7,15 +7,15 @@
 
 
 class Consistency(enum.Enum):
-    """What a route's reads must have seen."""
+    """Which commits a route's reads must include."""
 
     PRIMARY = enum.auto()  # every acknowledged commit
-    STATED_AGE = enum.auto()  # every commit older than a stated age
-    READ_YOUR_WRITES = enum.auto()  # that, and the session's own commits
+    STATED_AGE = enum.auto()  # every commit older than the route's `max_age_ms`
+    READ_YOUR_WRITES = enum.auto()  # the same, and the session's own commits
 
 
 class Route(NamedTuple):
-    """Where the sessions of one database go, and within which times.
+    """The service of the sessions of one database, and its time limits.
 
     `timeout_ms` limits one statement, `objective_ms` is the latency objective of an
     operation, `max_age_ms` bounds the age of what reads see.
@@ -31,7 +31,7 @@
 
 
 class Service(NamedTuple):
-    """A group of instances, and how many links each of them takes."""
+    """A group of instances, and how many links each of them accepts."""
 
     name: str
     max_links: int
@@ -46,19 +46,19 @@
 
 
 class FleetConfig(NamedTuple):
-    """One version of the configuration, whole."""
+    """One complete version of the configuration."""
 
     version: int
     routes: dict[str, Route]
     services: dict[str, Service]
     workspaces: dict[str, Workspace]
-    # Which workspace holds a key.
+    # The workspace of each key.
     keys: dict[str, str]
     idle_transaction_ms: float
 
 
 class InstanceEntry(NamedTuple):
-    """What an instance last said of itself."""
+    """The state that an instance last registered."""
 
     id: str
     service: str
@@ -66,5 +66,6 @@
     slots: int
     leaving: bool
     claims_primary: bool
-    # When it started, by its own clock: an id may start again and know nothing.
+    # When it started, by its own clock. A restarted instance keeps its id but loses the
+    # state of its connections.
     born_ms: int
--- a/bronzerelay/pooler/fleetrates.py
+++ b/bronzerelay/pooler/fleetrates.py
@@ -1,11 +1,12 @@
-"""A workspace's rate over the whole fleet, from counts that daemons tell each other.
-
-Every daemon keeps the bucket of the whole fleet: what it admits and what the others
-report as admitted leaves it. What the others admit until they report next isn't known,
-so that a daemon goes by what callers ask for, which is reported too: where they ask for
-more than the bucket holds, each daemon admits the same part of what it is asked for.
-What a daemon that isn't heard of may admit is set aside at once, so that a cut splits
-the rate instead of doubling it.
+"""Fleet-wide rate limits of workspaces, from counts that daemons report to each other.
+
+Every daemon keeps a token bucket per workspace for the whole fleet. It takes tokens for
+the operations that it admits itself and for those that the others report as admitted.
+What the others admit before their next report isn't known, so daemons also report how
+many operations callers request: if more are requested than the bucket holds, each
+daemon admits the same fraction of its own requests. The share of a daemon that isn't
+heard from is set aside at once, so that a network partition splits the rate instead of
+doubling it.
 """
 
 import math
@@ -26,52 +27,54 @@
 )
 from bronzerelay.runtime import Runtime
 
-# The time that reports need to reach everybody, in milliseconds: what is spent within
-# it is spent without knowing of the others.
+# How long a report takes to reach all daemons, in milliseconds. Operations within this
+# time are admitted without knowing of those of the other daemons.
 PROPAGATION_MS = 300
-# The same through relays: from a daemon to its relay, to that of another failure
+# The same through relays: from a daemon to its relay, to the relay of another failure
 # domain, and to the daemons there.
 RELAYED_PROPAGATION_MS = 3 * PROPAGATION_MS
-# What a process begins with, in operations. What its predecessor spent isn't known to
-# it, so that it begins with next to nothing; with nothing at all the first caller of
-# each workspace would be refused.
+# The tokens of a new bucket. A process doesn't know what its predecessor spent, so it
+# starts with next to none; with none at all the first caller of each workspace would be
+# refused.
 INITIAL_TOKENS = 1.0
-# How long what callers ask for is remembered, in milliseconds: two reports, so that a
-# flood is seen at once and a single caller isn't taken for one.
+# The time constant with which the demand decays, in milliseconds. It covers two
+# reports, so that a flood is noticed at once but a single caller isn't taken for one.
 DEMAND_WINDOW_MS = 600
-# The part of what is saved up that is given away before the next reports come. With
-# all of it given away each time, the fleet would spend and starve by turns.
+# The fraction of the saved tokens that may be spent before the next reports arrive. If
+# all were spent, the fleet would alternate between overspending and refusing.
 SAVED_FRACTION = 0.5
 
 
 class RateDecision(NamedTuple):
-    """What becomes of an operation: it runs after `wait_ms`, or may come back then."""
+    """Whether an operation is admitted, and after how long to run or to retry it."""
 
     admitted: bool
     wait_ms: float = 0.0
 
 
 class Bucket:
-    """The fleet's bucket of one workspace, as this daemon sees it."""
+    """The fleet's token bucket of one workspace, as seen by this daemon."""
 
     def __init__(self, spec: Workspace, now_ms: float, credit: float):
         self.spec = spec
         self.tokens = min(INITIAL_TOKENS, spec.burst)
         self.filled_at_ms = now_ms
-        # All that this process has admitted and was asked for, as it is reported.
+        # The totals of this process, which it reports to its peers.
         self.admitted = 0
         self.requested = 0
         self.changed_at_ms = 0.0
-        # What the fleet was asked for lately; older operations count for less.
+        # The operations that the whole fleet was recently asked for, decaying with
+        # time.
         self.demand = 0.0
-        # What adds up to the next operation while only a part is admitted.
+        # Accumulates the fractions of operations while only a fraction is admitted.
         self.credit = credit
-        # The part of the rate that is left to the daemons that are heard of.
+        # The fraction of all daemons that are heard from, which is the fraction of the
+        # rate that they may spend.
         self.fraction = 1.0
 
 
 class FleetRates:
-    """All workspaces' buckets at this daemon."""
+    """The buckets of all workspaces at this daemon."""
 
     def __init__(self, runtime: Runtime, name: str):
         self._clock = runtime.clock
@@ -81,19 +84,20 @@
         self._buckets: dict[str, Bucket] = {}
         self._reports: dict[tuple[str, Scope], PeerReports] = {}
         self._sources: dict[str, Source] = {}
-        # What was counted of this failure domain's other daemons, and of other domains.
+        # The applied tallies of the other daemons of this failure domain, and of the
+        # other domains.
         self._sums: dict[Scope, dict[str, TallySum]] = {Scope.OWN: {}, Scope.DOMAIN: {}}
         self._propagation_ms = PROPAGATION_MS
 
     def set_workspaces(self, specs: Iterable[Workspace]) -> None:
-        """Take over the rates of a configuration."""
+        """Apply the rates of a configuration."""
         now_ms = self._clock.now_ms()
         with self._lock:
             updated = {}
             for spec in specs:
                 bucket = self._buckets.get(spec.name)
                 if bucket is None:
-                    # Daemons that add up in step would admit and refuse in step.
+                    # A random start, or all daemons would admit and refuse in step.
                     bucket = Bucket(spec, now_ms, self._random.random())
                 bucket.spec = spec
                 bucket.tokens = min(bucket.tokens, spec.burst)
@@ -101,12 +105,12 @@
             self._buckets = updated
 
     def set_members(self, names: Iterable[str]) -> None:
-        """Take over who else may admit operations, where each reports here itself."""
+        """Set the other daemons that admit operations, each reporting its own."""
         others = [name for name in names if name != self._name]
         self.set_sources({name: SourceGroup(Scope.OWN, (name,)) for name in others})
 
     def set_sources(self, groups: dict[str, SourceGroup]) -> None:
-        """Take over who tells of whom; all members but this one belong to one group."""
+        """Set who reports for whom; each other member belongs to exactly one group."""
         now_ms = self._clock.now_ms()
         with self._lock:
             updated = {}
@@ -129,7 +133,7 @@
     def make_report(
         self, since_ms: float | None, scope: Scope = Scope.OWN, receiver: str = ""
     ) -> Report:
-        """Return what has changed since a moment, or all when that is None."""
+        """Return the tallies that changed since a time, or all if it is None."""
         oldest_ms = -math.inf if since_ms is None else since_ms
         now_ms = self._clock.now_ms()
         with self._lock:
@@ -145,7 +149,7 @@
         return Report(since_ms is None, tallies, scope, reachable, members)
 
     def _sum_tallies(self, workspace: str, scope: Scope, receiver: str) -> TallySum:
-        """Return what a report of a scope says of a workspace to a receiver."""
+        """Return the tally of a workspace for a report with this scope and receiver."""
         bucket = self._buckets.get(workspace)
         total, changed_at_ms = ZERO_TALLY, -math.inf
         if bucket is not None:
@@ -170,7 +174,7 @@
     def _count_members(
         self, scope: Scope, receiver: str, now_ms: float
     ) -> tuple[int, int]:
-        """Return how many members a report stands for: those heard of, and all."""
+        """Return how many reachable members, and members, a report covers."""
         reachable = members = 1
         if scope is Scope.OWN:
             return reachable, members
@@ -184,11 +188,12 @@
         return reachable, members
 
     def apply_report(
-        self, peer: str, incarnation: int, last_report_ms: float, report: Report
+        self, peer: str, incarnation: int, as_of_ms: float, report: Report
     ) -> None:
-        """Take what a peer tells as admitted out of the buckets.
+        """Take what a peer reports as admitted out of the buckets.
 
-        What was admitted while it wasn't heard of was set aside already.
+        Operations that it admitted while it was silent aren't taken out: its share was
+        set aside already.
         """
         now_ms = self._clock.now_ms()
         with self._lock:
@@ -206,13 +211,14 @@
                     )
             known.complete = known.complete or report.full
             if source is not None:
-                source.add_report(report, last_report_ms)
+                source.add_report(report, as_of_ms)
 
     def _find_reports(self, peer: str, incarnation: int, scope: Scope) -> PeerReports:
         """Return what the peer's process has reported so far.
 
-        Of what it admitted before this process heard of it nobody knows when it was, so
-        that only a process that takes the place of a known one is taken to begin anew.
+        A process that replaces a known one counts from zero. For any other one it is
+        unknown when it admitted the operations of its first report, so these aren't
+        counted.
         """
         known = self._reports.get((peer, scope))
         if known is None or known.incarnation != incarnation:
@@ -221,7 +227,7 @@
         return known
 
     def _find_source(self, peer: str, scope: Scope, now_ms: float) -> Source | None:
-        """Return the group for which the peer's word counts now, or None."""
+        """Return the group whose current reporter is this peer, or None."""
         for source in self._sources.values():
             group = source.group
             if group.scope is scope and peer in group.names:
@@ -239,7 +245,7 @@
         bucket = self._buckets.get(workspace)
         if bucket is not None:
             self._fill(bucket, now_ms)
-            # Less than before where more was given back than spent.
+            # The number is negative if the peer refunded more than it spent.
             left = bucket.tokens - added.admitted
             bucket.tokens = min(bucket.spec.burst, left)
             bucket.demand = max(0.0, bucket.demand + added.requested)
@@ -252,16 +258,16 @@
         total = known.tally.plus(added) if known else added
         sums[workspace] = TallySum(total, now_ms)
 
-    # Spending
+    # Admitting
 
     def spend(self, workspace: str, max_wait_ms: float = 0.0) -> RateDecision:
-        """Spend one operation, one that is due within `max_wait_ms` included.
+        """Spend one token, or one that is due within `max_wait_ms`.
 
-        A bucket that is nearly empty, as that of a process that has just started,
-        earns its next operation in a few milliseconds. Refused for so little, a caller
-        far inside its rate would come back to another daemon and start anew. While
-        callers ask for more than the rate nobody waits: what one waits for another one
-        would have got, and all would only be later.
+        A bucket that is nearly empty, such as that of a process that has just started,
+        earns its next token in a few milliseconds. A caller far below its rate that was
+        refused for so little would have to start again at another daemon. While callers
+        request more than the rate, nobody waits: waiting would only delay all of them
+        without admitting more.
         """
         now_ms = self._clock.now_ms()
         with self._lock:
@@ -279,11 +285,12 @@
                 return RateDecision(False, max(1.0, due_ms))
             expected = bucket.demand * self._propagation_ms / DEMAND_WINDOW_MS
             budget = bucket.tokens * SAVED_FRACTION + rate * self._propagation_ms / 1000
-            # With no more care than for tokens, a flood through 40 daemons gets 58 to
-            # 164 operations a second of 100 (simulated), with it 79 to 105.
+            # In simulations of a flood through 40 daemons at a rate of 100 a second,
+            # 79 to 105 operations a second were admitted, and 58 to 164 if tokens alone
+            # decided.
             bucket.credit += min(1.0, max(0.0, budget / expected))
             if bucket.credit < 1:
-                # So long the rate takes for those who come too much in one round.
+                # How long the rate takes to earn what is requested beyond the budget.
                 return RateDecision(False, max(1.0, (expected - budget) / rate * 1000))
             bucket.credit -= 1
             bucket.tokens -= 1
@@ -291,7 +298,7 @@
             return RateDecision(True, due_ms)
 
     def describe(self, workspace: str) -> str:
-        """Return what a decision about a workspace goes by, for people."""
+        """Return the inputs of a decision about a workspace as readable text."""
         with self._lock:
             bucket = self._buckets.get(workspace)
             if bucket is None:
@@ -304,10 +311,10 @@
             )
 
     def refund(self, workspace: str) -> None:
-        """Take back an operation that no instance has run.
+        """Return the token of an operation that no instance has run.
 
-        Kept, each refusal for another reason would use up the workspace's rate, and a
-        caller that comes back as it was told would be refused over it.
+        Otherwise each refusal for another reason would use up the workspace's rate, and
+        a caller that retries as it was told would be refused for exceeding it.
         """
         with self._lock:
             bucket = self._buckets.get(workspace)
@@ -319,14 +326,15 @@
                 bucket.changed_at_ms = self._clock.now_ms()
 
     def _fill(self, bucket: Bucket, now_ms: float) -> None:
-        """Refill the bucket with the part of the rate that this side may spend."""
+        """Refill the bucket with the fraction of the rate for the reachable daemons."""
         elapsed_ms = now_ms - bucket.filled_at_ms
         if elapsed_ms <= 0:
             return
         fraction = self._find_reachable_fraction(now_ms)
         if fraction < bucket.fraction:
-            # The silent ones may spend their part of what is saved up, too, and have
-            # spent unheard since they fell silent, as this side has.
+            # Silent daemons may also spend their fraction of the saved tokens. And
+            # since their last report both sides may have spent that fraction of the
+            # rate.
             lost_fraction = bucket.fraction - fraction
             bucket.tokens = min(
                 bucket.tokens, bucket.tokens * fraction / bucket.fraction
--- a/bronzerelay/pooler/httpcalls.py
+++ b/bronzerelay/pooler/httpcalls.py
@@ -1,7 +1,7 @@
-"""Small HTTP/1.1 over the runtime's connections: a client and a server of pages.
+"""A small HTTP/1.1 client and page server on the runtime's connections.
 
-The parser is `httptools`. `urllib3` and `http.client` would do the same for 12 MB and
-5 MB of a process (resident size after the import, measured on Linux, Python 3.11).
+The parser is `httptools`, because importing `urllib3` or `http.client` adds 12 MB or 5
+MB to the resident size of a process (measured on Linux with Python 3.11).
 """
 
 from collections.abc import Callable
@@ -19,10 +19,10 @@
     TaskLimitError,
 )
 
-# The longest body that is accepted, in bytes: a value of the platform's store in
-# base64, with what stands around it, for a page of them.
+# The longest body that is accepted, in bytes. It has room for a page of items of the
+# platform's store, whose values are encoded in base64.
 MAX_BODY_BYTES = 8 * 1024 * 1024
-# How long an idle connection to a server of ours stays open, in milliseconds.
+# How long an idle connection to a page server stays open, in milliseconds.
 SERVER_IDLE_MS = 15_000
 CONNECT_TIMEOUT_MS = 500
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
@@ -36,7 +36,7 @@
 
 
 class HttpCallError(Exception):
-    """No whole response came; `may_have_run` says whether the call may have arrived."""
+    """A call got no complete response; `may_have_run` if it may have been executed."""
 
     def __init__(self, message: str, may_have_run: bool):
         super().__init__(message)
@@ -64,7 +64,7 @@
 
 
 class HttpClient:
-    """Calls one server, on one connection at a time that is kept while it works."""
+    """Calls one server over one connection, which is kept open between calls."""
 
     def __init__(self, runtime: Runtime, address: Address):
         self._runtime = runtime
@@ -90,7 +90,7 @@
                 connection.send(self._encode(method, path, body, headers or {}))
                 answer, keep_alive = self._receive(connection, deadline_ms)
             except (OSError, ValueError, httptools.HttpParserError) as error:
-                # A late response would be taken for that of the next call.
+                # A late response would be taken for the response to the next call.
                 self._close_connection()
                 raise HttpCallError(f"{self._address}: {error}", True) from None
             if not keep_alive:
@@ -143,18 +143,18 @@
         return answer, parser.should_keep_alive()
 
     def interrupt(self) -> None:
-        """Break off a call that another task waits in."""
+        """Interrupt a call that another task is waiting for."""
         connection = self._connection
         if connection is not None:
             connection.close()
 
 
-# Returns a status and a body for a path.
+# Returns the response for a path.
 Page = Callable[[str], HttpResponse]
 
 
 class PageServer:
-    """Serves GET requests on one address with the pages that it was given."""
+    """Serves GET requests on one address with the responses of `page`."""
 
     def __init__(self, runtime: Runtime, address: Address, page: Page, ending: Signal):
         self._runtime = runtime
@@ -185,7 +185,7 @@
                 if not self._serve_one(connection):
                     return
         except (OSError, ValueError, httptools.HttpParserError):
-            # Whoever sends no HTTP gets no answer; there is nothing to undo.
+            # The client disconnected or didn't send HTTP; it gets no response.
             return
         finally:
             connection.close()
--- a/bronzerelay/pooler/lines.py
+++ b/bronzerelay/pooler/lines.py
@@ -1,21 +1,22 @@
-"""Lines over a connection, bounded in length and time."""
+"""Reads lines from a connection, with limits on their length and time."""
 
 from bronzerelay.runtime import Clock, Connection, ConnectionLostError
 
 LINE_END = b"\r\n"
-# The longest line that either side may send, in bytes: the size of one message.
+# The longest line that either side may send, in bytes. Each message is one line.
 MAX_LINE_BYTES = 1024 * 1024
-# How long the rest of a line may take once its first byte is here, in milliseconds.
-# Without it a caller that sends half a line holds a task for ever.
+# How long the rest of a line may take after its first byte has arrived, in
+# milliseconds. Without a limit, a caller that sends half a line would occupy a task
+# forever.
 LINE_TIMEOUT_MS = 10_000
 
 
 class LineTooLongError(ConnectionLostError):
-    """The other side sent a line over the limit; the connection is of no more use."""
+    """The other side sent a line over the limit; the connection can't be reused."""
 
 
 class LineReader:
-    """Reads lines from one connection; bytes behind a line wait for the next call."""
+    """Reads lines from one connection and buffers the bytes that follow a line."""
 
     def __init__(self, connection: Connection, clock: Clock):
         self._connection = connection
@@ -24,7 +25,7 @@
         self._searched = 0
 
     def has_line(self) -> bool:
-        """Return whether a whole line is here already."""
+        """Return whether a complete line is buffered."""
         return self._find_end() >= 0
 
     def _find_end(self) -> int:
@@ -36,7 +37,7 @@
     def read_line(self, deadline_ms: float) -> bytes:
         """Return the next line without its end.
 
-        Raise TimeoutError after `deadline_ms` (a point on the clock), LineTooLongError
+        Raise TimeoutError after `deadline_ms` (a time on the clock), LineTooLongError
         or ConnectionLostError.
         """
         while True:
@@ -51,7 +52,8 @@
             self._receive(deadline_ms)
 
     def _receive(self, deadline_ms: float) -> None:
-        # A process that was paused until the deadline finds here what came meanwhile.
+        # With no time left, still read what has arrived: the process may have been
+        # paused until after the deadline.
         left_ms = max(0, deadline_ms - self._clock.now_ms())
         self._connection.set_timeout(left_ms)
         try:
--- a/bronzerelay/pooler/links.py
+++ b/bronzerelay/pooler/links.py
@@ -1,8 +1,10 @@
-"""Links to instances: one connection each, for one workspace, with a session's state.
+"""Links to instances, and the pool that keeps them.
 
-An instance ties a connection to a workspace when it starts, and keeps session values
-and prepared names on it. So a link remembers what lies on its connection, and is
-brought to what a caller's session wants before a statement of that session runs.
+A link is a connection to an instance that belongs to one workspace and carries session
+state. The instance binds the connection to its workspace in the handshake, and keeps
+session values and prepared statements on it. So a link tracks the state of its
+connection, and changes it to that of a caller's session before it runs a statement of
+that session.
 """
 
 from collections.abc import Callable
@@ -20,27 +22,28 @@
 )
 from bronzerelay.runtime import Connection, Runtime
 
-# Connecting within a region takes a millisecond or two; an opening packet that a full
-# queue dropped is sent again only after a second, and another instance is quicker.
+# Connecting within a region takes a millisecond or two. A SYN that was dropped by a
+# full accept queue is retransmitted only after a second; another instance is faster by
+# then.
 CONNECT_TIMEOUT_MS = 400
-# Statements of the pooler's own, which no caller sent, go by this id.
+# The id of statements that the pooler itself sends, not a caller.
 POOLER_STATEMENT_ID = "-"
-# A link that nobody has used for this long is closed: the connections of an instance
-# are few, and others may want them. Milliseconds.
+# How long a link may be idle before it is closed, in milliseconds. An instance has few
+# connections, and other daemons may need them.
 IDLE_CLOSE_MS = 4_000
-# How long bringing a link to a session's state may take, in milliseconds. It takes no
-# slot, so that only a dark instance needs longer.
+# How long setting a session's state on a link may take, in milliseconds. It needs no
+# slot, so only an unresponsive instance takes longer.
 SESSION_STATE_TIMEOUT_MS = 600
-# How long the first answer on a new connection may take, in milliseconds. A connection
-# takes a slot, so that a busy instance may let it wait behind statements.
+# How long the handshake on a new connection may take, in milliseconds. It needs a slot,
+# so at a busy instance it may have to wait for running statements.
 HANDSHAKE_TIMEOUT_MS = 1_000
-# Prepared names on one connection before it is wiped, so that an instance's memory
-# stays bounded whatever callers prepare.
+# How many statements may be prepared on one connection before its state is discarded,
+# so that callers can't exhaust an instance's memory.
 PREPARED_LIMIT = 200
 
 
 class LinkError(Exception):
-    """A link can't be had or brought to a session's state; nothing of it has run."""
+    """A link can't be opened or given a session's state; the statement hasn't run."""
 
     def __init__(self, fault: Fault, detail: str):
         super().__init__(f"{fault.name.lower()}: {detail}")
@@ -49,10 +52,10 @@
 
 
 def prepared_name(prepared: Prepared) -> str:
-    """Return the name under which a prepared statement lies on every link.
+    """Return the name under which a statement is prepared on every link.
 
-    Two callers may give one name to two shapes. Named by its content, what one has
-    prepared serves the other too, and a name never means another shape.
+    Two callers may give the same name to different statements. Names derived from the
+    content can't conflict, and callers can share what one of them has prepared.
     """
     return f"{'w' if prepared.writes else 'r'}_{prepared.shape}"
 
@@ -81,7 +84,7 @@
         self._prepared: set[str] = set()
 
     def handshake(self, deadline_ms: float) -> Answer:
-        """Introduce the connection to the instance; return its answer."""
+        """Send the startup message on a new connection; return the answer."""
         entry = self.entry
         data = self._codec.encode_startup(entry.service, self.workspace, entry.id)
         return self._exchange(data, deadline_ms, is_handshake=True)
@@ -91,8 +94,8 @@
     ) -> Answer:
         """Run one statement; `floor` is the position that the log must have reached.
 
-        A link whose answer didn't come to its end is closed: a late answer would be
-        taken for that of the next statement.
+        A link is closed if its answer is incomplete, since a late answer would be taken
+        for the answer to the next statement.
         """
         data = self._codec.encode_query(statement_id, text, floor)
         answer = self._exchange(data, deadline_ms)
@@ -105,7 +108,7 @@
         sent = False
         try:
             self._connection.set_timeout(max(1.0, deadline_ms - self._clock.now_ms()))
-            # A part of it may arrive even when sending fails.
+            # Part of the data may arrive even if sending fails.
             sent = True
             self._connection.send(data)
             return self._read_answer(deadline_ms, is_handshake)
@@ -118,10 +121,10 @@
             return Answer(fault=fault, detail=str(error))
 
     def _read_answer(self, deadline_ms: float, is_handshake: bool = False) -> Answer:
-        """Return the whole answer; one to the start ends with its error.
+        """Return the complete answer; in the handshake an error line ends it.
 
-        An instance closes after it has turned a connection away. Taken for a lost
-        answer, a full instance would look dead and its primary be replaced.
+        An instance closes a connection after refusing it. If this counted as a lost
+        answer, a primary without free connections would look dead and be replaced.
         """
         rows: list[str] = []
         signature = ""
@@ -145,16 +148,15 @@
     # The session's state
 
     def has_values(self, values: dict[str, str]) -> bool:
-        """Return whether the values on the connection are those of the session."""
+        """Return whether the connection has exactly these session values."""
         return self._values == values
 
     def apply_session_state(
         self, values: dict[str, str], needed: Prepared | None
     ) -> None:
-        """Bring the connection to the session's values and the needed statement.
+        """Set the session's values and prepare the needed statement.
 
-        Raise LinkError when it can't be; the link is closed then, since nobody knows
-        what lies on it.
+        If that fails, close the link, since its state is unknown, and raise LinkError.
         """
         texts = self._list_setup_statements(values, needed)
         if not texts:
@@ -183,7 +185,7 @@
     def _list_setup_statements(
         self, values: dict[str, str], needed: Prepared | None
     ) -> list[str]:
-        """Return the statements that bring the connection to the session's state."""
+        """Return the statements that set the session's state on the connection."""
         texts = []
         surplus = any(name not in values for name in self._values)
         if surplus or len(self._prepared) > PREPARED_LIMIT:
@@ -201,25 +203,25 @@
         return texts
 
     def forget_prepared(self) -> None:
-        """Take the names on the connection for lost, since the instance said so."""
+        """Forget the prepared statements, after the instance didn't know one."""
         self._prepared = set()
 
     def is_reusable(self) -> bool:
-        """Return whether the next session may use the link."""
+        """Return whether another session may use the link."""
         return self.usable and not self.in_transaction and self._connection.is_quiet()
 
     def close(self) -> None:
-        """Close the connection; what it had open rolls back at the instance."""
+        """Close the connection; the instance rolls back an open transaction."""
         if self.usable:
             self.usable = False
             self._connection.close()
 
 
 class LinkPool:
-    """All links of one daemon, lent to one task at a time.
+    """All links of one daemon, each used by one task at a time.
 
-    A new connection takes a slot of its instance for some milliseconds, so that idle
-    ones are kept, up to this daemon's part of what the instance takes.
+    Opening a connection takes a slot of its instance for some milliseconds. So idle
+    links are kept, up to this daemon's share of the instance's connections.
     """
 
     def __init__(self, runtime: Runtime, codec: LineCodec):
@@ -297,7 +299,7 @@
         raise LinkError(fault, answer.detail)
 
     def release(self, link: InstanceLink, max_idle: int) -> None:
-        """Take a link back; keep at most `max_idle` idle ones of its instance."""
+        """Return a link to the pool, which keeps at most `max_idle` of its instance."""
         with self._lock:
             self._in_use.discard(link)
         if not link.usable or link.in_transaction:
@@ -314,14 +316,14 @@
             self._discard(link)
 
     def close_idle(self, instance_id: str) -> None:
-        """Close the idle links of an instance that has no connection left."""
+        """Close the idle links of an instance that has no free connection."""
         with self._lock:
             links = self._idle.pop(instance_id, [])
         for link in links:
             self._discard(link)
 
     def close_all(self, instance_id: str) -> None:
-        """Close all links to an instance, also those that tasks wait on."""
+        """Close all links to an instance, including those that tasks wait on."""
         with self._lock:
             in_use = [link for link in self._in_use if link.entry.id == instance_id]
         for link in in_use:
@@ -329,7 +331,7 @@
         self.close_idle(instance_id)
 
     def close_unused(self, is_listed: Callable[[InstanceEntry], bool]) -> None:
-        """Close links idle for long, and those to instances that aren't listed."""
+        """Close links that were idle for too long or whose instance is unlisted."""
         oldest_ms = self._runtime.clock.now_ms() - IDLE_CLOSE_MS
         surplus = []
         with self._lock:
@@ -343,7 +345,7 @@
             self._discard(link)
 
     def count_open(self, instance_id: str) -> int:
-        """Return how many links to the instance are open, lent ones included."""
+        """Return how many links to the instance are open, including those in use."""
         return self._open.get(instance_id, 0)
 
     def _discard(self, link: InstanceLink) -> None:
--- a/bronzerelay/pooler/messages.py
+++ b/bronzerelay/pooler/messages.py
@@ -1,4 +1,4 @@
-"""What callers, instances and the pooler say to each other, free of any wire format."""
+"""The messages between callers, pooler and instances, independent of a wire format."""
 
 import enum
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class Verb(enum.Enum):
-    """What a statement asks for."""
+    """The kind of a statement."""
 
     BEGIN = enum.auto()
     BEGIN_READ_ONLY = enum.auto()
@@ -26,7 +26,7 @@
 
 
 class TransactionState(enum.Enum):
-    """Where a session stands after an answer."""
+    """The transaction state of a session after an answer."""
 
     IDLE = enum.auto()
     OPEN = enum.auto()
@@ -34,14 +34,14 @@
 
 
 class Startup(NamedTuple):
-    """A caller's first message: the database it wants and the key it presents."""
+    """A caller's first message: the database to use and the caller's key."""
 
     database: str
     key: str
 
 
 class Prepared(NamedTuple):
-    """What a prepared name stands for: a read or a write of a shape."""
+    """A prepared statement: a read or write, and the text of its query shape."""
 
     writes: bool
     shape: str
@@ -50,9 +50,10 @@
 class Statement(NamedTuple):
     """One statement of a caller.
 
-    `text` goes to an instance unchanged. `name` is the session value or the prepared
-    name that SET, PREPARE, EXECUTE and DEALLOCATE concern, `value` what SET gives it,
-    `prepared` what PREPARE gives it, `arguments` what EXECUTE passes on.
+    `text` goes to an instance unchanged. `name` is the name of the session value in
+    SET, and of the prepared statement in PREPARE, EXECUTE and DEALLOCATE. `value` is
+    the value that SET assigns, `prepared` the statement that PREPARE defines, and
+    `arguments` the arguments of EXECUTE.
     """
 
     id: str
@@ -69,7 +70,7 @@
 
 
 class Malformed(NamedTuple):
-    """A line that is no message; `id` is empty when even that can't be read."""
+    """A line that can't be decoded; `id` is empty if the line has no readable id."""
 
     id: str
     reason: str
@@ -79,23 +80,23 @@
 
 
 class Fault(enum.Enum):
-    """Why an instance or the link to it gave no result."""
+    """Why a statement got no result from an instance or from the link to it."""
 
     BUSY = enum.auto()  # not run: no slot
     UNPREPARED = enum.auto()  # not run: the prepared name is unknown
-    LAGGING = enum.auto()  # not run: the log lacks the asked position
-    READ_ONLY = enum.auto()  # not run: the instance doesn't lead
-    WRONG_INSTANCE = enum.auto()  # not run: another instance stands at the address
+    LAGGING = enum.auto()  # not run: the log hasn't reached the required position
+    READ_ONLY = enum.auto()  # not run: the instance isn't the primary
+    WRONG_INSTANCE = enum.auto()  # not run: the address is another instance's
     TOO_MANY_LINKS = enum.auto()  # not run: no connection is free
-    ABORTED = enum.auto()  # nothing of the transaction is kept
+    ABORTED = enum.auto()  # the transaction was rolled back
     UNREACHABLE = enum.auto()  # nothing was sent
-    FAILED = enum.auto()  # ran, without success
+    FAILED = enum.auto()  # ran and failed
     TIMED_OUT = enum.auto()  # may have run
     LOST = enum.auto()  # may have run: the link ended before the answer
-    REJECTED = enum.auto()  # any other error; nothing is known of it
+    REJECTED = enum.auto()  # any other error; unknown whether it ran
 
 
-# Faults after which nothing of the statement can have run.
+# Faults after which the statement has certainly not run.
 NOT_RUN_FAULTS = frozenset(
     [
         Fault.BUSY,
@@ -110,9 +111,9 @@
 
 
 class Answer(NamedTuple):
-    """An instance's whole answer to one statement.
+    """An instance's complete answer to one statement.
 
-    `position` is the end of the log that the instance had, None when it named none.
+    `position` is the end of the instance's log, None if the answer doesn't give it.
     """
 
     rows: tuple[str, ...] = ()
@@ -124,7 +125,7 @@
 
 
 class AnswerPart(enum.Enum):
-    """Which part of an answer a line is."""
+    """The kind of a line within an answer."""
 
     ROW = enum.auto()
     DONE = enum.auto()
@@ -133,7 +134,7 @@
 
 
 class AnswerLine(NamedTuple):
-    """One line of an answer; the fields that its part doesn't have are empty."""
+    """One line of an answer; fields that this kind of line lacks are empty."""
 
     part: AnswerPart
     text: str = ""
@@ -143,7 +144,7 @@
 
 
 class InstanceStatus(NamedTuple):
-    """Where an instance stands: its role, its term and what it has received."""
+    """An instance's role, its term and the end of the log that it has received."""
 
     is_primary: bool
     term: int
@@ -151,9 +152,10 @@
 
 
 class LineCodec(NamedTuple):
-    """The functions that turn messages into lines and back; `platform` registers one.
+    """The functions that encode and decode a platform's line protocol.
 
-    Lines are passed without their end. Encoders return whole lines with their end.
+    Decoders get lines without their line end, encoders return lines with it. The
+    `format_` functions return the text of a statement for `encode_query`.
     """
 
     decode_caller: Callable[[bytes, bool], CallerMessage]
--- a/bronzerelay/pooler/placement.py
+++ b/bronzerelay/pooler/placement.py
@@ -1,4 +1,4 @@
-"""Which instance runs a read: one that has seen enough, and answers soonest."""
+"""Chooses the instance for a read: up to date enough, and the fastest to answer."""
 
 from typing import NamedTuple
 
@@ -8,30 +8,32 @@
 from bronzerelay.pooler.positions import LogPositions, Sample
 from bronzerelay.runtime import Runtime
 
-# The assumed time of an answer before any was measured, in milliseconds, and the weight
-# of a new one. It is short, so that each instance is tried; a longer one than that of
-# an instance in use would leave the others unused for good.
+# The assumed answer time of an instance before any was measured, in milliseconds, and
+# the weight of a new measurement in the moving average. The assumed time is short, so
+# that each instance is tried: if it were longer than the answer time of an instance in
+# use, the other instances would never be used.
 INITIAL_ANSWER_MS = 1.0
 ANSWER_WEIGHT = 0.1
-# An instance that was out of reach gets nothing for this long, unless there is no
-# other: each try costs its caller the whole timeout. Milliseconds.
+# How long an instance that gave no answer is avoided, unless there is no other, in
+# milliseconds. Each failed attempt costs its caller the whole timeout.
 AVOID_MS = 700
-# A position that a replica's answer named says nothing about it after this time: its
-# log moves on. Milliseconds.
+# How long the log position in a replica's answer is used to exclude the replica, in
+# milliseconds. After that the replica may have caught up.
 POSITION_VALID_MS = 300
-# The primary has the writes to serve, which nobody else can, so that a read goes there
-# only when a replica would take this many times as long.
+# The factor on the primary's cost. Only the primary can serve writes, so a read goes
+# there only if a replica would take this many times as long.
 PRIMARY_COST_FACTOR = 2.0
 
 
 class InstanceView:
-    """What this daemon has seen of one instance."""
+    """What this daemon has observed of one instance."""
 
     def __init__(self):
         self.answer_ms = INITIAL_ANSWER_MS
+        # Statements of this daemon that are in progress at the instance.
         self.outstanding = 0
         self.avoid_until_ms = 0.0
-        # Failures since the last answer, and when they began.
+        # Consecutive failures since the last answer, and when the first one began.
         self.failures = 0
         self.failing_since_ms = 0.0
         self.position: Position | None = None
@@ -39,14 +41,14 @@
 
 
 class ReadRequirement(NamedTuple):
-    """What a read needs: a log up to `floor`, or the primary when there is none."""
+    """What a read requires: a log up to the position `floor`, or the primary."""
 
     floor: Position | None
     primary_only: bool
 
 
 class Placement:
-    """Judges instances by this daemon's own traffic."""
+    """Chooses instances by what this daemon's own statements have shown of them."""
 
     def __init__(self, runtime: Runtime, directory: Directory):
         self._runtime = runtime
@@ -57,7 +59,7 @@
         self._positions: dict[str, LogPositions] = {}
 
     def positions_of(self, service: str) -> LogPositions:
-        """Return what is known of the log of a service's primary."""
+        """Return the known log positions of a service's primary."""
         positions = self._positions.get(service)
         if positions is None:
             with self._lock:
@@ -67,7 +69,7 @@
         return positions
 
     def view_of(self, instance_id: str) -> InstanceView:
-        """Return what was seen of an instance."""
+        """Return the observations of an instance."""
         view = self._views.get(instance_id)
         if view is None:
             with self._lock:
@@ -75,16 +77,16 @@
         return view
 
     def drop_unlisted(self) -> None:
-        """Drop the views of instances that are listed no more."""
+        """Drop the views of instances that are no longer listed."""
         listed = self._directory.instances
         with self._lock:
             for instance_id in set(self._views) - set(listed):
                 del self._views[instance_id]
 
     def list_samples(self, since_ms: float, own: bool) -> dict[str, Sample]:
-        """Return the newest sample of each primary's log since a moment, by service.
+        """Return each primary's newest log sample since a time, by service.
 
-        With `own` those alone that primaries have told this daemon itself.
+        With `own`, only samples that this daemon took from the primary itself.
         """
         samples = {}
         for service, positions in list(self._positions.items()):
@@ -94,24 +96,24 @@
         return samples
 
     def list_silent(self) -> dict[str, float]:
-        """Return the instances that give no answer, and since when."""
+        """Return the instances that don't answer, and since when."""
         return {
             instance_id: view.failing_since_ms
             for instance_id, view in list(self._views.items())
             if view.failures > 0
         }
 
-    # What answers tell
+    # Recording answers
 
     def record_answer(self, entry: InstanceEntry, took_ms: float) -> None:
-        """Note how long an instance took for an answer."""
+        """Record how long an instance took to answer."""
         view = self.view_of(entry.id)
         view.answer_ms += ANSWER_WEIGHT * (took_ms - view.answer_ms)
         view.avoid_until_ms = 0.0
         view.failures = 0
 
     def record_failure(self, entry: InstanceEntry, sent_at_ms: float) -> None:
-        """Note that an instance gave no answer to what was sent at `sent_at_ms`."""
+        """Record that an instance didn't answer a request sent at `sent_at_ms`."""
         view = self.view_of(entry.id)
         now_ms = self._clock.now_ms()
         view.avoid_until_ms = now_ms + AVOID_MS
@@ -122,7 +124,7 @@
     def record_position(
         self, entry: InstanceEntry, position: Position | None, sent_at_ms: float
     ) -> None:
-        """Note the end of an instance's log as of a request sent at `sent_at_ms`."""
+        """Record the end of an instance's log, as of a request sent at `sent_at_ms`."""
         if position is None:
             return
         view = self.view_of(entry.id)
@@ -137,7 +139,7 @@
     def find_requirement(
         self, route: Route, own_commit: Position | None
     ) -> ReadRequirement:
-        """Return what a read on `route` needs, after the session's own commit."""
+        """Return what a read on `route` requires after the session's own commit."""
         if route.consistency is Consistency.PRIMARY:
             return ReadRequirement(None, True)
         floor = self.positions_of(route.service).find_floor(route.max_age_ms)
@@ -149,10 +151,11 @@
         return ReadRequirement(floor, False)
 
     def _predates_primary(self, route: Route, commit: Position) -> bool:
-        """Return whether a commit is older than the lead of the present primary.
+        """Return whether a commit is older than the term of the current primary.
 
-        All samples are of that primary then, and hold each such commit that was kept.
-        One that wasn't is in no log any more, and a read would wait for it in vain.
+        In this case all samples are from the current primary, and include every such
+        commit that survived the primary change. A lost commit is in no log any more,
+        and a read that requires it would never be served.
         """
         record = self._directory.primary_records.get(route.service)
         return record is not None and commit.term < record.term
@@ -166,7 +169,8 @@
     ) -> list[str]:
         """Return the ids of the instances that may serve a read, best first.
 
-        Without a proof that it still leads, the primary is left to those that need it.
+        Without a proof that it is still the primary, the primary is used only if the
+        read requires it or no other instance is left.
         """
         primary = self._directory.find_primary(service)
         if requirement.primary_only:
@@ -180,7 +184,8 @@
             if is_primary and not has_proof:
                 continue
             if not is_primary and entry.claims_primary:
-                # Two claim to lead: the other one's log may part from the leader's.
+                # Two instances claim to be primary. The log of this one may have
+                # diverged from the log of the primary in use.
                 continue
             view = self.view_of(entry.id)
             if not is_primary and not self._may_have_reached(
--- a/bronzerelay/pooler/positions.py
+++ b/bronzerelay/pooler/positions.py
@@ -1,4 +1,4 @@
-"""How far a primary's log was at known times, so that replicas can be judged by it."""
+"""Samples of a primary's log position, which decide how current a replica must be."""
 
 import math
 from collections import deque
@@ -7,43 +7,45 @@
 from bronzerelay.pooler.messages import Position
 from bronzerelay.runtime import Runtime
 
-# Samples kept for a service. A bound of seconds is met by any of the last ones, and one
-# every SPACING_MS is enough to choose from.
+# The most samples kept of a service, and the least time between two of them, in
+# milliseconds. The bounds on the age of reads are seconds, so closer samples would gain
+# nothing.
 MAX_SAMPLES = 64
 MIN_SPACING_MS = 40
-# Taken off every stated age, in milliseconds: for a read that is judged by when it
-# reached the instance and not by when it was sent from here.
+# Subtracted from every bound on the age of a read, in milliseconds. It covers the time
+# between sending a read and its arrival at the instance, where its age is measured.
 AGE_MARGIN_MS = 150
 
 
 class Sample(NamedTuple):
-    """The primary's log held all commits acknowledged before `at_ms`."""
+    """A position that includes all commits acknowledged before `at_ms`."""
 
     at_ms: float
     position: Position
 
 
 class LogPositions:
-    """The samples of one service; any task may call it.
+    """The samples of one service; safe to call from any task.
 
-    A sample counts from when its request was sent, never from when its answer came:
-    the instance may have looked at its log at any time between.
+    The time of a sample is when its request was sent, not when its answer arrived: the
+    instance may have read its log position at any time in between.
     """
 
     def __init__(self, runtime: Runtime):
         self._clock = runtime.clock
         self._lock = runtime.make_lock()
         self._samples: deque[Sample] = deque(maxlen=MAX_SAMPLES)
-        # Since when another instance leads, as far as this daemon has seen it.
+        # When this daemon learned of the last primary change.
         self.reset_at_ms = -math.inf
-        # The newest one that this daemon has from the primary itself.
+        # The newest sample that this daemon took from the primary itself.
         self.newest_own: Sample | None = None
 
     def reset(self) -> None:
-        """Forget all samples, since another instance leads now.
+        """Drop all samples after a primary change.
 
-        Its log lacks what only its predecessor had. A replica never reaches such a
-        position, and reads that wait for it would be refused until the samples age.
+        The new primary's log may lack entries that only its predecessor had. Replicas
+        never reach such a position, and reads that require it would be refused until
+        the samples are too old to be used.
         """
         with self._lock:
             self._samples.clear()
@@ -51,32 +53,32 @@
             self.reset_at_ms = self._clock.now_ms()
 
     def add_own_sample(self, at_ms: float, position: Position) -> None:
-        """Note what the primary itself has told this daemon."""
+        """Add a sample that this daemon took from the primary itself."""
         if self.newest_own is None or at_ms > self.newest_own.at_ms:
             self.newest_own = Sample(at_ms, position)
         self.add_sample(at_ms, position)
 
     def add_sample(self, at_ms: float, position: Position) -> None:
-        """Note that the primary's log ended at `position` at `at_ms` or later."""
+        """Add a sample: at `at_ms` or later, the primary's log ended at `position`."""
         with self._lock:
             last = self._samples[-1] if self._samples else None
             if last is None or at_ms - last.at_ms >= MIN_SPACING_MS:
                 self._samples.append(Sample(at_ms, position))
 
     def newest(self) -> Sample | None:
-        """Return the newest sample, whoever had it from the primary."""
+        """Return the newest sample, whether taken by this daemon or by a peer."""
         with self._lock:
             return self._samples[-1] if self._samples else None
 
     def last_seen_ms(self) -> float:
-        """Return when the primary was last heard of, or began to lead."""
+        """Return the time of the newest sample, or of the last primary change."""
         with self._lock:
             return self._samples[-1].at_ms if self._samples else self.reset_at_ms
 
     def find_floor(self, max_age_ms: float) -> Position | None:
-        """Return the least position that a log must hold to be young enough.
+        """Return the lowest log position that satisfies a bound on the age of a read.
 
-        None says that no sample is young enough and only the primary may be read.
+        None means that no sample is recent enough, so only the primary may be read.
         """
         oldest_ms = self._clock.now_ms() - max_age_ms + AGE_MARGIN_MS
         with self._lock:
--- a/bronzerelay/pooler/refusals.py
+++ b/bronzerelay/pooler/refusals.py
@@ -1,14 +1,15 @@
-"""What callers are told of faults, and whether their statement has run."""
+"""The refusals that callers get for faults, and whether their statement has run."""
 
 from bronzerelay.codes import NOT_RUN, RAN, UNKNOWN, Code, Refusal
 from bronzerelay.pooler.messages import NOT_RUN_FAULTS, Answer, Fault
 
-# What a caller is told to wait when no primary can be used, in milliseconds.
+# The retry time that a caller is told when no primary is available, in milliseconds.
 NO_PRIMARY_RETRY_MS = 250
-# What a caller is told to wait when instances are busy or out of reach, milliseconds.
+# The retry time that a caller is told when instances are busy or unreachable, in
+# milliseconds.
 BUSY_RETRY_MS = 100
 
-# What becomes of a fault that the caller is told of.
+# The code of the refusal for each fault.
 FAULT_CODES = {
     Fault.BUSY: Code.QUEUE_FULL,
     Fault.UNPREPARED: Code.ENDPOINT_UNREACHABLE,
@@ -26,7 +27,7 @@
 
 
 def refuse_fault(answer: Answer, writes: bool) -> Refusal:
-    """Return what the caller is told of a fault; "not run" only when that is true."""
+    """Return the refusal for a fault; it says "not run" only if that is certain."""
     fault = answer.fault or Fault.REJECTED
     code = FAULT_CODES[fault]
     if fault in NOT_RUN_FAULTS:
@@ -41,12 +42,12 @@
 
 
 def refuse_lost_transaction(detail: str) -> Refusal:
-    """Return what a caller is told whose transaction ended without a commit."""
+    """Return the refusal for a transaction that ended without a commit."""
     message = f"The transaction has ended and nothing of it is kept: {detail}."
     return Refusal(Code.TRANSACTION_LOST, message, NOT_RUN, BUSY_RETRY_MS)
 
 
 def refuse_no_primary() -> Refusal:
-    """Return what a caller is told while no instance can serve it."""
+    """Return the refusal for a caller while no instance can serve it."""
     message = "The service has no instance that can be used just now."
     return Refusal(Code.NO_PRIMARY, message, NOT_RUN, NO_PRIMARY_RETRY_MS)
--- a/bronzerelay/pooler/session.py
+++ b/bronzerelay/pooler/session.py
@@ -30,20 +30,20 @@
 # The most session values, and the most prepared names, of one session. More are refused
 # to bound its memory.
 MAX_SESSION_NAMES = 500
-# How long sending an answer may take, in milliseconds.
+# How long sending an answer to a slow caller may take, in milliseconds.
 SEND_TIMEOUT_MS = 5_000
 # How long a session must be idle before it is closed while the daemon stops, in
 # milliseconds. Callers pause for less than that within a burst of operations.
 DRAIN_IDLE_MS = 250
-# How long a new session waits for the configuration when the daemon has just started, in
-# milliseconds. It is usually loaded about 20 ms after the start, and a refused caller
-# would have to retry at another daemon. If it takes longer than this, the store is
-# unavailable and other daemons can serve the caller better.
+# How long a new session waits for the configuration of a daemon that has just started,
+# in milliseconds. It is usually loaded about 20 ms after the start, and a refused
+# caller would have to retry at another daemon. If it takes longer than this, the store
+# is unavailable and other daemons can serve the caller better.
 FIRST_CONFIG_MS = 300
 FIRST_CONFIG_POLL_MS = 10
-# The fraction of an operation's latency objective that it may wait until its workspace's
-# rate admits it. The rest is left for the instance; an operation that would have to wait
-# longer is refused with a time to retry.
+# The fraction of an operation's latency objective that it may wait until the rate of
+# its workspace admits it. The rest is left for the instance; an operation that would
+# have to wait longer is refused with a time to retry.
 RATE_WAIT_FRACTION = 0.2
 # The workspace under which instances see callers of public routes whose key is unknown.
 ANONYMOUS_WORKSPACE = "public"
--- a/bronzerelay/pooler/sources.py
+++ b/bronzerelay/pooler/sources.py
@@ -1,20 +1,21 @@
-"""What daemons report of operations to each other, and whose word counts for whom.
+"""Reports of admitted operations between daemons, and which reports are applied.
 
-In a small fleet each daemon reports to all others. In a large one a relay adds up: it
-tells the relays of other failure domains what its own domain has admitted, and the
-daemons of its domain what all others have.
+In a small fleet each daemon reports to all others. In a large one relays aggregate: a
+relay reports the operations of its own failure domain to the relays of other domains,
+and the operations of the whole fleet to the daemons of its domain.
 """
 
 import enum
 from typing import NamedTuple
 
-# A source that wasn't heard of for this long may be cut off and spend its part without
-# anybody being told. Milliseconds; three reports may be lost before.
+# How long without a report until a source counts as silent, in milliseconds. It may be
+# behind a network partition and admit operations that aren't reported here. Up to three
+# reports may be lost before.
 SILENT_MS = 1_000
 
 
 class Tally(NamedTuple):
-    """Operations of a workspace that were admitted, and asked for, in all."""
+    """The total operations of a workspace: admitted ones, and requested ones."""
 
     admitted: int
     requested: int
@@ -24,7 +25,7 @@
         return Tally(self.admitted - other.admitted, self.requested - other.requested)
 
     def plus(self, other: "Tally") -> "Tally":
-        """Return both together."""
+        """Return the sum of both."""
         return Tally(self.admitted + other.admitted, self.requested + other.requested)
 
 
@@ -32,17 +33,17 @@
 
 
 class Scope(enum.IntEnum):
-    """Whose operations a report adds up."""
+    """Whose operations a report covers."""
 
-    OWN = 0  # the sender's
+    OWN = 0  # those of the sender
     DOMAIN = 1  # those of all daemons in the sender's failure domain
     FLEET = 2  # those of all daemons but the receiver
 
 
 class Report(NamedTuple):
-    """What a daemon tells: all tallies, or those that changed lately.
+    """A daemon's report: all tallies if `full`, else those that changed lately.
 
-    `reachable` of the `members` that it stands for were heard of by the sender.
+    It covers `members` daemons, of which the sender currently hears from `reachable`.
     """
 
     full: bool
@@ -56,7 +57,7 @@
 
 
 class SourceGroup(NamedTuple):
-    """Daemons of which one at a time is the source for `members` members."""
+    """Daemons of which one at a time reports the operations of `members` daemons."""
 
     scope: Scope
     names: tuple[str, ...]
@@ -64,32 +65,33 @@
 
 
 class Source:
-    """The state of one group: who is believed now, and what it told of its members."""
+    """The state of one group: its current reporter and how many members it reaches."""
 
     def __init__(self, group: SourceGroup, now_ms: float):
         self.group = group
-        # A new one counts as heard of: it begins with nothing.
+        # A new source counts as not silent: its daemons start with next to no tokens.
         self.last_report_ms = now_ms
         self.current: str | None = None
         self.reachable = group.members
         self.members = group.members
 
     def is_silent(self, now_ms: float) -> bool:
-        """Return whether it may spend unheard."""
+        """Return whether it may admit operations that aren't reported here."""
         return now_ms - self.last_report_ms > SILENT_MS
 
     def accepts(self, peer: str, now_ms: float) -> bool:
-        """Return whether a peer's word counts; the first one's does until silence.
+        """Return whether a peer's reports are applied.
 
-        Two relays tell the same operations, and both counted would be twice as many.
+        Two relays report the same operations, which must not be counted twice. So only
+        the first peer that reports is accepted until the group is silent.
         """
         if self.current is None or (self.current != peer and self.is_silent(now_ms)):
             self.current = peer
         return self.current == peer
 
-    def add_report(self, report: Report, last_report_ms: float) -> None:
-        """Note a report that counts from `last_report_ms`."""
-        self.last_report_ms = max(self.last_report_ms, last_report_ms)
+    def add_report(self, report: Report, as_of_ms: float) -> None:
+        """Record a report that was made at `as_of_ms` or later."""
+        self.last_report_ms = max(self.last_report_ms, as_of_ms)
         if self.group.scope is not Scope.OWN:
             self.reachable = report.reachable
             self.members = report.members
@@ -100,15 +102,15 @@
 
     def __init__(self, incarnation: int, complete: bool):
         self.incarnation = incarnation
-        # Whether a workspace that wasn't named yet counts as one never asked for.
+        # Whether a workspace that wasn't reported yet counts as unused so far.
         self.complete = complete
         self.tallies: dict[str, Tally] = {}
-        # What of it was counted here.
+        # The part of the tallies that was applied here.
         self.applied: dict[str, Tally] = {}
 
 
 class TallySum(NamedTuple):
-    """What was counted of several peers, and when it last grew."""
+    """The sum of the applied tallies of several peers, and when it last changed."""
 
     tally: Tally
     changed_at_ms: float
