--- a/bronzerelay/pooler/daemon.py
+++ b/bronzerelay/pooler/daemon.py
@@ -74,7 +74,7 @@
     # For peers: heartbeats over UDP and pages over TCP, on the same port.
     peer: Address
     metrics: Address | None
-    # Addresses to ask for the state of a peer before any peer is known.
+    # Addresses of peers to contact before any peer is known.
     seeds: tuple[Address, ...]
     # The address at which this daemon serves as a seed.
     admin: Address | None
--- a/bronzerelay/pooler/fleetrates.py
+++ b/bronzerelay/pooler/fleetrates.py
@@ -303,10 +303,10 @@
             bucket = self._buckets.get(workspace)
             if bucket is None:
                 return "it has no rate"
-            demand = bucket.demand * 1000 / DEMAND_WINDOW_MS
+            recent = bucket.demand * 1000 / DEMAND_WINDOW_MS
             return (
                 f"{bucket.tokens:.1f} of {bucket.spec.burst:g} operations left, "
-                f"{bucket.spec.rate:g} a second due, {demand:.1f} a second asked for, "
+                f"{bucket.spec.rate:g} a second due, {recent:.1f} a second asked for, "
                 f"{bucket.fraction:.0%} of the daemons heard of"
             )
 
--- a/bronzerelay/pooler/links.py
+++ b/bronzerelay/pooler/links.py
@@ -267,7 +267,7 @@
             if not candidates:
                 return None
             best = next(
-                (link for link in candidates if link.has_values(values)), candidates[-1]
+                (one for one in candidates if one.has_values(values)), candidates[-1]
             )
             idle.remove(best)
             return best
@@ -312,8 +312,8 @@
             idle.append(link)
             while len(idle) > max(0, max_idle):
                 surplus.append(idle.pop(0))
-        for link in surplus:
-            self._discard(link)
+        for surplus_link in surplus:
+            self._discard(surplus_link)
 
     def close_idle(self, instance_id: str) -> None:
         """Close the idle links of an instance that has no free connection."""
--- a/lab/poolermutations.py
+++ b/lab/poolermutations.py
@@ -71,7 +71,7 @@
         POOLER + "primarychanges.py",
         "return close or received > end",
         "return True",
-        PATH + "TestChangesOfPrimary",
+        PATH + "TestPrimaryChanges",
     ),
     Mutation(
         "versions of the configuration never go back",
@@ -220,7 +220,7 @@
         POOLER + "runner.py",
         "        if not as_primary:\n            return action()\n        refusal",
         "        refusal",
-        PATH + "TestChangesOfPrimary",
+        PATH + "TestPrimaryChanges",
     ),
     Mutation(
         "the store is asked before the lease runs out",
@@ -262,14 +262,14 @@
         POOLER + "primaryguard.py",
         "if self.proof_age_ms() <= CUT_OFF_MS:",
         "if True:",
-        PATH + "TestAlone",
+        PATH + "TestIsolation",
     ),
     Mutation(
         "a session that a cut-off daemon refuses ends",
         POOLER + "session.py",
         "return is_isolated and is_idle and not self._reader.has_line()",
         "return False",
-        PATH + "TestAlone",
+        PATH + "TestIsolation",
     ),
     Mutation(
         "a proof is passed on with its age",
--- a/tests/builders_pooler.py
+++ b/tests/builders_pooler.py
@@ -31,7 +31,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that stands where a test puts it."""
+    """A clock that moves only when a test or a sleep moves it."""
 
     def __init__(self, now_ms: float = 1_000_000.0):
         self.value_ms = now_ms
@@ -51,12 +51,12 @@
 
 
 def make_log(runtime: Runtime) -> EventLog:
-    """Return a log whose lines stay queued."""
+    """Return a log that isn't running, so that its lines stay queued."""
     return EventLog(runtime, "test")
 
 
 def pack_mirror(mirror: PeerMirror) -> bytes:
-    """Return a mirror as a peer sends it."""
+    """Return a mirror in the form in which a peer sends it."""
     return zlib.compress(msgspec.msgpack.encode(mirror))
 
 
@@ -98,7 +98,7 @@
 
 
 class PoolerFleet:
-    """Daemons of one platform in one process, each with a runtime of its own."""
+    """Daemons on one stand-in platform in one process, each with its own runtime."""
 
     def __init__(self, lag_ms: float = 20.0):
         self.runtime = make_runtime()
@@ -152,7 +152,8 @@
             ),
             "daemons hear of each other",
         )
-        # Buckets begin nearly empty; at the stand-in's rates they have some by then.
+        # Buckets start nearly empty; at the stand-in's rates they earn tokens
+        # meanwhile.
         self.runtime.clock.sleep_ms(100)
         return daemons
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""The page of counters and latencies."""
+"""Tests of the page of counters and latencies."""
 
 from bronzerelay.pooler.counters import LABEL_LIMIT, Counters
 from tests.builders_pooler import make_runtime
--- a/tests/test_fleetrates.py
+++ b/tests/test_fleetrates.py
@@ -1,4 +1,4 @@
-"""A workspace's rate over the whole fleet, by the daemons' reports."""
+"""Tests of the fleet-wide rate limits, with reports between simulated daemons."""
 
 import pytest
 
@@ -14,11 +14,11 @@
 
 
 class Fleet:
-    """Daemons' rates on one clock, with reports that a test can hold back."""
+    """The rate limiters of several daemons on one clock, with reports between them."""
 
     def __init__(self, count=DAEMONS, rate=RATE, burst=BURST, max_wait_ms=0.0):
         self.clock = ManualClock()
-        # How long callers may wait at a daemon until the rate allows them.
+        # How long an operation may wait at a daemon until the rate admits it.
         self.max_wait_ms = max_wait_ms
         runtime = make_runtime(self.clock)
         self.names = [f"d{number}" for number in range(count)]
@@ -28,7 +28,7 @@
             rates.set_workspaces([make_workspace(rate=rate, burst=burst)])
             rates.set_members(self.names)
         self._reported_ms = 0.0
-        # When each daemon last told each other one.
+        # When each daemon last reported to each other one.
         self._sent_ms = {}
 
     def report(self):
@@ -47,8 +47,8 @@
     def play_callers(self, duration_ms, rate, retries=0):
         """Return when operations were admitted, and how many callers gave up.
 
-        Callers come at random to random daemons, which report one after the other. A
-        refused caller comes back to another daemon a moment later, `retries` times.
+        Callers arrive at random times at random daemons, which report in turn. A
+        refused caller retries at a random daemon 50 ms later, up to `retries` times.
         """
         chance = Random(7)
         admitted, given_up = [], 0
@@ -80,7 +80,7 @@
         return admitted, given_up
 
     def play(self, duration_ms, demand):
-        """Return when operations were admitted; `demand(name)` is a rate a second."""
+        """Return admission times and refusals; `demand(name)` is a rate a second."""
         admitted, refused = [], 0
         owed = dict.fromkeys(self.names, 0.0)
         end_ms = self.clock.now_ms() + duration_ms
@@ -101,7 +101,7 @@
 
 
 def count_most(times, window_ms=5000.0):
-    """Return the most operations in any window."""
+    """Return the highest number of operations in any window."""
     most = first = 0
     times = sorted(times)
     for last, time_ms in enumerate(times):
@@ -121,7 +121,8 @@
         assert len(admitted) >= 0.9 * RATE * 12
 
     def test_flood_while_daemons_are_cut_off_stays_inside_the_rate(self):
-        # Three of eight daemons hear of nobody. Each side would spend the whole rate.
+        # Three of eight daemons are isolated, each on its own. Without setting shares
+        # aside, each part of the fleet would spend the whole rate.
         fleet = Fleet()
         fleet.play(2000, lambda name: 0)
         admitted, _ = fleet.play(2000, lambda name: 5 * RATE / DAEMONS)
@@ -131,7 +132,7 @@
         last, _ = fleet.play(4000, lambda name: 5 * RATE / DAEMONS)
         assert count_most(admitted + more + last) <= (RATE * 5 + BURST) * 1.1 + 20
 
-    def test_lowered_rate_binds(self):
+    def test_lowered_rate_is_enforced(self):
         fleet = Fleet()
         fleet.play(3000, lambda name: RATE / DAEMONS)
         for rates in fleet.rates.values():
@@ -144,23 +145,23 @@
 class TestManyDaemons:
     @pytest.mark.parametrize("rate", [2, 10, 100])
     def test_callers_inside_a_small_rate_are_not_refused(self, rate):
-        # A small workspace's callers come to one of forty daemons at a time. Each
-        # daemon's part of the rate is far below one operation, and four callers of
-        # five were refused on a calm day.
+        # A small workspace's callers spread over forty daemons. With a fixed share per
+        # daemon, far below one operation, four of five callers were refused although
+        # the workspace was below its rate.
         fleet = Fleet(MANY, rate, rate)
         fleet.play_callers(3000, 0)
         admitted, given_up = fleet.play_callers(12_000, 0.6 * rate)
-        # One bucket for the whole fleet has to refuse some of those who come at random.
+        # Even a single bucket has to refuse some of the callers, which come at random.
         alone = Fleet(1, rate, rate)
         alone.play_callers(3000, 0)
         _, due = alone.play_callers(12_000, 0.6 * rate)
         assert given_up <= due + 0.02 * len(admitted) + 1
 
     @pytest.mark.parametrize("rate", [2, 10, 100])
-    def test_flood_that_comes_back_stays_inside_the_rate(self, rate):
-        # A workspace sends five times its rate through forty daemons, and whoever is
-        # refused comes back twice. No daemon hears of the others' callers for the
-        # first third of a second.
+    def test_flood_with_retries_stays_inside_the_rate(self, rate):
+        # A workspace sends five times its rate through forty daemons, and refused
+        # callers retry twice. For the first third of a second no daemon knows of the
+        # others' callers.
         fleet = Fleet(MANY, rate, rate)
         fleet.play_callers(6000, 0.6 * rate)
         admitted, _ = fleet.play_callers(12_000, 5 * rate, retries=2)
@@ -168,9 +169,9 @@
         assert len(admitted) >= 0.85 * rate * 12
 
     def test_flood_is_served_evenly(self):
-        # A workspace floods forty daemons. All see a few operations come free at the
-        # same moment and spend each of them many times over, and then refuse until that
-        # is made good: its callers get 164 operations in one second and 58 in another.
+        # A workspace floods forty daemons. If all of them see the same few tokens at
+        # once, they spend each token many times and then refuse until the bucket has
+        # recovered: callers got 164 operations in one second and 58 in another.
         fleet = Fleet(MANY, 100, 100)
         fleet.play_callers(4000, 60)
         fleet.play_callers(2000, 800, retries=2)
@@ -179,9 +180,9 @@
             assert 75 <= len(admitted) <= 125
 
     @pytest.mark.parametrize("rate", [2, 10, 100])
-    def test_flood_upon_a_restart_of_all_daemons_stays_inside_the_rate(self, rate):
+    def test_flood_across_a_restart_of_all_daemons_stays_inside_the_rate(self, rate):
         # All processes are killed during a flood. None knows what its predecessor
-        # spent, and with one operation for each the fleet would spend forty.
+        # spent, and if each admitted one operation, the fleet would admit forty.
         fleet = Fleet(MANY, rate, rate)
         fleet.play_callers(4000, 0.6 * rate)
         before, _ = fleet.play_callers(3000, 5 * rate, retries=2)
@@ -195,9 +196,9 @@
 
 
 class TestReports:
-    def test_what_the_receiver_knows_is_left_out(self):
-        # Forty daemons tell each other of eighty workspaces three times a second. Most
-        # of these were used by nobody since.
+    def test_report_omits_what_the_receiver_knows(self):
+        # Forty daemons report on eighty workspaces to each other three times a second,
+        # most of which weren't used since the last report.
         fleet = Fleet(2)
         rates = fleet.rates["d0"]
         fleet.clock.sleep_ms(1000)
@@ -208,9 +209,9 @@
         assert list(rates.make_report(used_ms).tallies) == ["north"]
         assert rates.make_report(used_ms + 1).tallies == {}
 
-    def test_what_a_process_spent_before_this_one_began_isnt_counted(self):
-        # A daemon starts beside one that has admitted thousands. Counted as spent now,
-        # they would leave the workspace nothing for a minute.
+    def test_operations_before_this_process_started_arent_counted(self):
+        # A daemon starts next to one that has admitted thousands of operations. If
+        # these counted as spent now, the workspace would get nothing for a minute.
         fleet = Fleet(2)
         tallies = {"north": Tally(5000, 6000)}
         rates = fleet.rates["d0"]
@@ -237,9 +238,10 @@
         _, refused = fleet.play(10_000, lambda name: 0.6 * RATE * (name == "d0"))
         assert refused <= 5
 
-    def test_operation_that_wasnt_run_is_given_back(self):
-        # The primary is away for a while and all writes are refused. Counted as if they
-        # had run, the callers that come back would be refused over their rate.
+    def test_operation_that_wasnt_run_is_refunded(self):
+        # The primary is unavailable for a while and all writes are refused. If they
+        # counted as run, the retrying callers would be refused for exceeding their
+        # rate.
         fleet = Fleet(2)
         fleet.play(1500, lambda name: 0)
         for _ in range(200):
@@ -249,27 +251,27 @@
         admitted, refused = fleet.play(500, lambda name: 0.4 * RATE)
         assert (len(admitted) > 0, refused) == (True, 0)
 
-    def test_restarted_daemon_begins_nearly_empty(self):
-        # What the process before it spent isn't known to it. With a full bucket each
-        # restart would give the workspace its burst once more.
+    def test_restarted_daemon_starts_with_a_nearly_empty_bucket(self):
+        # A process doesn't know what its predecessor spent. With a full bucket each
+        # restart would give the workspace another burst.
         fleet = Fleet(1)
         rates = fleet.rates["d0"]
         admitted = sum(rates.spend("north").admitted for _ in range(50))
         assert admitted == INITIAL_TOKENS
 
-    def test_thawed_daemon_doesnt_spend_what_the_others_spent(self):
-        # A daemon is frozen for long. Its bucket would fill with the whole rate of that
-        # time, which the others have spent already.
+    def test_resumed_daemon_doesnt_spend_what_the_others_spent(self):
+        # A daemon is paused for a long time. Its bucket would fill with the whole rate
+        # of that time, which the others have already spent.
         fleet = Fleet(4)
         fleet.play(2000, lambda name: RATE / 4)
         fleet.clock.sleep_ms(10 * SILENT_MS)
         admitted = sum(fleet.rates["d0"].spend("north").admitted for _ in range(100))
         assert admitted <= BURST / 4 + 2
 
-    def test_operation_due_in_a_moment_waits_instead_of_being_refused(self):
-        # A daemon has just started and its bucket has earned nine tenths of an
-        # operation. A caller at a fiftieth of its rate was told to come back in a
-        # millisecond, and its transaction had to begin anew.
+    def test_operation_due_soon_waits_instead_of_being_refused(self):
+        # A daemon has just started and its bucket has earned nine tenths of a token. A
+        # caller at a fiftieth of its rate was told to retry in a millisecond, and had
+        # to start its transaction again.
         fleet = Fleet(2, 500, 500)
         rates = fleet.rates["d0"]
         assert rates.spend("north").admitted
@@ -277,13 +279,14 @@
         decision = rates.spend("north", 40)
         assert decision.admitted
         assert 0 < decision.wait_ms <= 2
-        # What it takes before it is due is owed: a third caller waits for it, too.
+        # A token that is spent before it is due is owed, so a third caller waits
+        # longer.
         assert rates.spend("north", 40).wait_ms > decision.wait_ms
 
     @pytest.mark.parametrize("rate", [2, 10, 100])
-    def test_flood_that_waits_for_its_turn_stays_inside_the_rate(self, rate):
-        # Callers of a flood may wait for what is due. Each of forty daemons would lend
-        # out the same operation before it hears of the others.
+    def test_flood_that_waits_for_tokens_stays_inside_the_rate(self, rate):
+        # Callers of a flood may wait for tokens that are due soon. Each of forty
+        # daemons would promise the same token before it hears from the others.
         fleet = Fleet(MANY, rate, rate, max_wait_ms=80)
         fleet.play_callers(6000, 0.6 * rate)
         admitted, _ = fleet.play_callers(12_000, 5 * rate, retries=2)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture(name="ends")
 def fixture_ends():
-    """Give both ends of a connection, and the runtime."""
+    """Yield both ends of a connection, and the runtime."""
     with open_runtime() as runtime:
         listener = runtime.listen(Address("127.0.0.1", 0))
         near = runtime.dial(listener.address, LONG_MS)
@@ -23,7 +23,7 @@
 
 
 def test_a_line_that_is_there_is_read_though_its_deadline_has_passed(ends):
-    """Guards against losing the answer of an instance to a pause of the daemon."""
+    """Guards against losing an instance's answer because the daemon was paused."""
     near, far, runtime = ends
     far.send(b"row\r\nend\r\n")
     assert near.wait_readable(LONG_MS)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links to instances, and the pool that lends them."""
+"""Tests of links to instances and of their pool."""
 
 import pytest
 from line_codec import CODEC
@@ -40,15 +40,15 @@
 
 
 class TestPool:
-    def test_link_is_lent_again_to_the_same_workspace_only(self, group, pool):
+    def test_link_is_reused_by_the_same_workspace_only(self, group, pool):
         link = acquire(group, pool)
         pool.release(link, 2)
         assert acquire(group, pool, "south") is not link
         assert acquire(group, pool) is link
 
-    def test_link_with_an_open_transaction_isnt_lent_again(self, group, pool):
-        # A task ends between BEGIN and the end of its transaction. The next statement
-        # on the link would run inside a transaction of somebody else.
+    def test_link_with_an_open_transaction_isnt_reused(self, group, pool):
+        # A task ends between BEGIN and the end of its transaction. If the link were
+        # reused, the next statement would run inside another caller's transaction.
         link = acquire(group, pool)
         call(group, link, "BEGIN")
         pool.release(link, 2)
@@ -56,7 +56,7 @@
         assert acquire(group, pool) is not link
         assert pool.count_open("orders-0") == 1
 
-    def test_link_that_the_instance_closed_isnt_lent_again(self, group, pool):
+    def test_link_that_the_instance_closed_isnt_reused(self, group, pool):
         link = acquire(group, pool)
         pool.release(link, 2)
         group.instances["orders-0"].cut_links()
@@ -69,9 +69,9 @@
             pool.release(link, 1)
         assert pool.count_open("orders-0") == 1
 
-    def test_broken_links_wake_who_waits_on_them(self, group, pool):
-        # A dead primary answers nothing, and a change of primary would wait for the
-        # timeouts of all that was sent to it.
+    def test_closing_links_interrupts_waiting_calls(self, group, pool):
+        # A dead primary doesn't answer, and the failover would wait until all
+        # statements sent to it time out.
         group.instances["orders-0"].silent = True
         link = acquire(group, pool)
         waiting = group.runtime.start(call, group, link, "FETCH a")
@@ -79,15 +79,15 @@
         pool.close_all("orders-0")
         assert waiting.result(0.5).fault is Fault.LOST
 
-    def test_instance_without_room(self, group, pool):
+    def test_instance_without_a_free_connection(self, group, pool):
         group.instances["orders-0"].refuse_links = True
         with pytest.raises(LinkError) as caught:
             acquire(group, pool)
         assert caught.value.fault is Fault.TOO_MANY_LINKS
 
 
-class TestState:
-    def test_values_are_replaced_and_wiped(self, group, pool):
+class TestSessionState:
+    def test_values_are_replaced_and_discarded(self, group, pool):
         link = acquire(group, pool, values={"a": "1", "b": "2"})
         link.apply_session_state({"a": "3"}, None)
         call(group, link, "FETCH x")
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which instance runs a read."""
+"""Tests of the choice of the instance for a read."""
 
 import pytest
 
@@ -41,13 +41,13 @@
 
 
 class TestReadRequirement:
-    def test_strict_reads_need_the_primary(self, placement):
+    def test_strict_reads_require_the_primary(self, placement):
         assert placement.find_requirement(make_route(), None).primary_only
 
-    def test_without_a_sample_only_the_primary_is_young_enough(self, placement):
+    def test_without_a_sample_only_the_primary_is_current_enough(self, placement):
         assert placement.find_requirement(AGED, None).primary_only
 
-    def test_floor_is_the_oldest_sample_that_is_young_enough(self, placement, clock):
+    def test_floor_is_the_oldest_sample_that_is_recent_enough(self, placement, clock):
         positions = placement.positions_of(SERVICE)
         for number in range(10):
             positions.add_sample(clock.now_ms(), Position(1, number))
@@ -60,9 +60,9 @@
         requirement = placement.find_requirement(OWN, Position(1, 9))
         assert requirement.floor == Position(1, 9)
 
-    def test_own_commit_of_a_former_primary_holds_up_no_read(self, placement, clock):
-        # A commit was acknowledged and lost when its primary crashed, and nothing was
-        # committed since. Each later read of its session would wait for it and be
+    def test_own_commit_of_a_former_primary_blocks_no_read(self, placement, clock):
+        # A commit was acknowledged, lost when its primary crashed, and nothing was
+        # committed since. Each later read of the session would require it and be
         # refused.
         placement._directory.set_primary_record(make_primary_record(1))
         positions = placement.positions_of(SERVICE)
@@ -72,18 +72,18 @@
         requirement = placement.find_requirement(OWN, Position(2, 90))
         assert requirement.floor == Position(2, 90)
 
-    def test_samples_of_a_former_primary_are_forgotten(self, placement, clock):
-        # What they name may be in no log any more. Reads of a stated age would be
-        # refused as too old until the samples are old enough themselves.
+    def test_samples_of_a_former_primary_are_dropped(self, placement, clock):
+        # Their positions may be in no log any more. Reads with a bound on their age
+        # would be refused as too stale until the samples are too old to be used.
         positions = placement.positions_of(SERVICE)
         positions.add_own_sample(clock.now_ms(), Position(1, 90))
         positions.reset()
         assert placement.find_requirement(AGED, None).primary_only
         assert placement.list_samples(0, own=True) == {}
 
-    def test_sample_counts_from_when_it_was_asked_for(self, clock):
-        # The answer was held up for two seconds. What was committed meanwhile isn't in
-        # the position that it names.
+    def test_time_of_a_sample_is_when_it_was_requested(self, clock):
+        # The answer was delayed by two seconds. Its position doesn't include what was
+        # committed meanwhile.
         positions = LogPositions(make_runtime(clock))
         positions.add_sample(clock.now_ms() - 2000, Position(1, 3))
         assert positions.find_floor(1500) is None
@@ -110,7 +110,7 @@
             placement.record_answer(make_instance(SECOND), 5)
         assert list_candidates(placement, self.requirement)[0] == SECOND
 
-    def test_replica_out_of_reach_comes_last(self, placement, clock):
+    def test_unresponsive_replica_comes_last(self, placement, clock):
         placement.record_failure(make_instance(FIRST), clock.now_ms())
         assert list_candidates(placement, self.requirement)[-1] == FIRST
 
@@ -119,7 +119,7 @@
             placement, self.requirement, has_proof=False
         )
 
-    def test_tried_ones_are_left_out(self, placement):
+    def test_instances_tried_before_are_left_out(self, placement):
         assert list_candidates(
             placement, self.requirement, frozenset([FIRST, SECOND])
         ) == [PRIMARY]
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -1,4 +1,4 @@
-"""The whole path of the pooler on stand-ins: sessions, limits, changes of primary."""
+"""End-to-end tests of the pooler on stand-ins: sessions, limits, primary changes."""
 
 import pytest
 
@@ -34,8 +34,8 @@
     return reply
 
 
-# How soon after its acknowledgement a configuration has to be in force everywhere, in
-# milliseconds, as the users' rules state it.
+# How soon after its acknowledgement a configuration must be in force at all daemons, in
+# milliseconds, by the users' requirements.
 APPLY_WITHIN_MS = 3_000
 
 
@@ -54,7 +54,7 @@
 
 
 def cut_off_store(daemon):
-    """Let the store give a daemon no answer any more."""
+    """Make all further calls of a daemon to the store fail."""
 
     def refuse(*_):
         raise HttpCallError("cut off", False)
@@ -73,8 +73,9 @@
         assert run_ok(caller, "FETCH row").rows == ["one"]
 
     def test_prepared_names_of_two_callers_dont_mix(self, fleet):
-        # Two callers give one name to two shapes. Laid on the same connection by that
-        # name, the second caller's write would run as the first one's read.
+        # Two callers use the same name for different statements. If both were prepared
+        # on a connection under that name, the second caller's write would run as the
+        # first caller's read.
         fleet.start_ready("d1")
         first, second = open_session(fleet, STRICT), open_session(fleet, STRICT)
         run_ok(first, "PARSE s1 FETCH qa")
@@ -86,8 +87,8 @@
         assert shapes == {"FETCH qa", "STORE qb"}
 
     def test_values_of_one_session_dont_reach_another(self, fleet):
-        # A connection that ran one caller's statement serves another caller next. The
-        # first one's session values would decide how the second one's statement runs.
+        # Callers take turns on one connection. Without a reset, the first caller's
+        # session values would apply to the second caller's statement.
         fleet.start_ready("d1")
         first, second = open_session(fleet, STRICT), open_session(fleet, STRICT)
         run_ok(first, "SET mode strict")
@@ -117,10 +118,10 @@
         run_ok(caller, "ROLLBACK")
         assert run_ok(caller, "FETCH a").rows == ["-"]
 
-    def test_caller_that_leaves_inside_a_transaction_leaves_nothing(self, fleet):
-        # A caller goes away between its write and its commit. The connection goes back
-        # to the pool, and with the transaction open on it the next caller's statement
-        # would run inside it.
+    def test_disconnect_inside_a_transaction_rolls_it_back(self, fleet):
+        # A caller disconnects between its write and its commit. If its link went back
+        # to the pool with the transaction open, the next caller's statement would run
+        # inside that transaction.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         run_ok(caller, "BEGIN")
@@ -139,10 +140,10 @@
         assert caller.query("FETCH a").error == "PROTOERR"
         assert run_ok(caller, "ROLLBACK").state == "I"
 
-    def test_idle_transaction_is_ended(self, fleet):
-        # A caller opens a transaction and thinks for longer than the configuration
-        # allows. It holds one of few connections; told only at its commit, it must not
-        # be told that the commit went through.
+    def test_idle_transaction_is_rolled_back(self, fleet):
+        # A caller leaves a transaction idle for longer than the configuration allows.
+        # The transaction is rolled back, since it occupies one of few connections, and
+        # the later commit must not be reported as successful.
         fleet.platform.idle_ms = 150
         fleet.platform.configure()
         fleet.start_ready("d1")
@@ -157,7 +158,7 @@
         fleet.start_ready("d1")
         caller = open_session(fleet, AGED)
         run_ok(open_session(fleet, STRICT), "STORE row one")
-        # What a replica was seen to lack counts for a while.
+        # A replica that was seen to lag isn't used until its known position expires.
         fleet.runtime.clock.sleep_ms(POSITION_VALID_MS + 50)
         for _ in range(10):
             run_ok(caller, "FETCH row")
@@ -173,9 +174,9 @@
         caller = LineCaller(fleet.runtime, fleet.address("d1"))
         assert caller.start("nowhere", "north-key").startswith("ERROR NODB")
 
-    def test_withdrawn_key_ends_on_an_open_session(self, fleet):
-        # An operator withdraws a key whose callers stay connected. Checked only when a
-        # session starts, they would go on for as long as they like.
+    def test_withdrawn_key_is_refused_on_an_open_session(self, fleet):
+        # An operator withdraws a key whose callers stay connected. If keys were checked
+        # only at the start of a session, these callers would be served indefinitely.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet)
         run_ok(caller, "FETCH a")
@@ -184,8 +185,8 @@
         fleet.wait(lambda: daemon.directory.version == version, "the new version")
         assert caller.query("FETCH a").error == "DENIED"
 
-    def test_withdrawn_key_ends_inside_a_transaction(self, fleet):
-        # The same inside an open transaction: its commit must not go through.
+    def test_withdrawn_key_is_refused_inside_a_transaction(self, fleet):
+        # As above, but inside an open transaction: its commit must not succeed.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet)
         run_ok(caller, "BEGIN")
@@ -201,7 +202,7 @@
         run_ok(open_session(fleet), "FETCH a")
         assert {run.workspace for run in fleet.platform.group.runs} == {"north"}
 
-    def test_over_its_rate_a_workspace_is_told_when_to_come_back(self, fleet):
+    def test_workspace_over_its_rate_is_told_when_to_retry(self, fleet):
         fleet.platform.tenants = [NORTH._replace(rate=5.0, burst=5.0)]
         fleet.platform.configure()
         fleet.start_ready("d1")
@@ -211,10 +212,10 @@
         assert refused
         assert all("Come back in" in reply.text for reply in refused)
 
-    def test_caller_that_comes_back_when_told_to_is_served(self, fleet):
-        # A workspace has used up its rate for a moment. Its caller is told when the
-        # next operation is due; the stand-in's caller, who is the example to follow,
-        # gave up at once.
+    def test_caller_that_retries_when_told_is_served(self, fleet):
+        # A workspace has just used up its rate, and its caller is told when the next
+        # operation is due. The stand-in's caller, which is the reference client, gave
+        # up at once.
         slow = NORTH._replace(rate=4.0, burst=1.0)
         fleet.platform.tenants = [slow]
         version = fleet.platform.configure()
@@ -224,9 +225,9 @@
         replies = [caller.query_patiently(f"STORE row {n}") for n in range(3)]
         assert [reply.error for reply in replies] == ["", "", ""]
 
-    def test_items_of_other_writers_do_no_harm(self, fleet):
-        # Somebody else writes entries that can't be read beside those of the instances.
-        # Taken as a failure of the whole list, no instance would be left.
+    def test_invalid_items_of_other_writers_are_skipped(self, fleet):
+        # Another program writes entries that can't be decoded next to those of the
+        # instances. If this failed the whole list, no instance would be left.
         fleet.store.put("servers/bad", b"\xff\xfe")
         fleet.store.put_json("servers/worse", {"service": 7, "state": "asleep"})
         daemon = fleet.start_ready("d1")[0]
@@ -236,7 +237,7 @@
 
 
 class TestInstances:
-    def test_read_whose_answer_is_lost_is_read_elsewhere(self, fleet):
+    def test_read_whose_answer_is_lost_is_retried(self, fleet):
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         run_ok(caller, "STORE a 1")
@@ -244,8 +245,8 @@
         assert run_ok(caller, "FETCH a").rows == ["1"]
 
     def test_write_whose_answer_is_lost_runs_once_and_is_in_doubt(self, fleet):
-        # The primary runs a write and the connection breaks before its answer. Sent
-        # again it would take effect twice; called "not run" it would be a lie.
+        # The primary runs a write and the connection breaks before the answer. A retry
+        # would apply it twice, and the refusal "not run" would be false.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         fleet.platform.group.instances["orders-0"].lose_answers = 1
@@ -262,16 +263,16 @@
         assert (reply.error, reply.state) == ("INDOUBT", "I")
         assert len(fleet.platform.group.instances["orders-0"].log) == 1
 
-    def test_busy_instance_is_asked_again(self, fleet):
+    def test_statement_at_a_busy_instance_is_retried(self, fleet):
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         fleet.platform.group.instances["orders-0"].busy_answers = 2
         run_ok(caller, "STORE a 1")
         assert len(fleet.platform.group.instances["orders-0"].log) == 1
 
-    def test_commit_without_a_slot_is_sent_again_in_the_same_transaction(self, fleet):
-        # An instance has no slot for a commit. The transaction is open there still;
-        # given up, all of it would have to be done again by the caller.
+    def test_commit_without_a_slot_is_retried_in_the_same_transaction(self, fleet):
+        # An instance has no slot for a commit. The transaction is still open there; if
+        # it were given up, the caller would have to repeat all of it.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         run_ok(caller, "BEGIN")
@@ -304,8 +305,8 @@
     def test_idle_links_leave_an_instance_half_of_its_connections(
         self, fleet, daemons, kept
     ):
-        # Seventy daemons that keep one idle link each take 70 of the 74 connections of
-        # an instance, and statements are refused for want of one.
+        # If 70 daemons keep one idle link each, these take 70 of the 74 connections of
+        # an instance, and statements are refused because none is free.
         daemon = fleet.start_ready("d1")[0]
         daemon.runner.set_daemon_count(daemons)
         assert daemon.runner.max_idle_links(SERVICE) == kept
@@ -317,13 +318,13 @@
         ("slots", "daemons", "share"), [(3, 1, 3), (3, 8, 3), (2, 9, 2), (5, 70, 1)]
     )
     def test_share_of_an_instances_slots(self, slots, daemons, share):
-        # Seventy daemons take all five slots of a primary for theirs. It gets several
-        # hundred statements at once, refuses most, and they all come back.
+        # If each of 70 daemons uses all five slots of a primary, the primary gets
+        # several hundred statements at once and refuses most, which are all retried.
         assert limit_statements(slots, daemons) == share
 
-    def test_busy_primary_is_asked_again_on_the_same_link(self, fleet):
-        # A primary has no slot just now. Each new link would take one itself, so that
-        # those who wait would keep it busy.
+    def test_busy_primary_is_retried_on_the_same_link(self, fleet):
+        # A primary has no free slot. Each new link would itself take a slot, so
+        # retries on new links would keep the primary busy.
         daemon = fleet.start_ready("d1")[0]
         daemon.runner.set_daemon_count(70)
         caller = open_session(fleet, STRICT)
@@ -334,7 +335,7 @@
 
 
 class TestRelays:
-    """Four daemons, of which two are relays and two stand behind them."""
+    """Four daemons, of which two are relays and the other two depend on them."""
 
     NAMES = ("d1", "d2", "d3", "d4")
 
@@ -343,7 +344,7 @@
         monkeypatch.setattr(contacts, "FULL_MESH", 3)
 
     def start(self, fleet):
-        """Return the relays and those behind them."""
+        """Return the relays and the daemons behind them."""
         daemons = [fleet.start(name) for name in self.NAMES]
 
         def is_settled():
@@ -351,7 +352,7 @@
             return len(behind) == 2 and all(one.is_ready() for one in daemons)
 
         fleet.wait(is_settled, "two daemons are behind relays")
-        # Watches that began before the relays were known have to end.
+        # End the watches that began before the relays were known.
         for daemon in daemons:
             daemon._plugins.store.interrupt()
         fleet.runtime.clock.sleep_ms(300)
@@ -359,15 +360,15 @@
         return relays, [one for one in daemons if one not in relays]
 
     def test_configuration_comes_through_relays(self, fleet):
-        # Each change of the store costs a call for each daemon that watches it. Of 81
-        # daemons 75 were called for nothing, since six could tell them.
+        # Each update of the store costs a call per daemon that watches it. With 81
+        # daemons, 75 calls were unnecessary, since six relays could inform the others.
         _, behind = self.start(fleet)
         for daemon in behind:
             daemon._plugins.store.watch = None
         version = fleet.platform.configure()
         wait_for_version(fleet, behind, version, 2000)
 
-    def test_daemons_go_by_the_store_when_their_relays_are_gone(self, fleet):
+    def test_daemons_use_the_store_when_their_relays_are_gone(self, fleet):
         relays, behind = self.start(fleet)
         for relay in relays:
             relay.gossip.close()
@@ -375,8 +376,8 @@
         version = fleet.platform.configure()
         wait_for_version(fleet, behind, version, 2500)
 
-    def test_change_comes_though_the_relays_are_cut_off_from_the_store(self, fleet):
-        # Guards against going by relays that are heard of and know nothing new.
+    def test_configuration_arrives_though_the_relays_have_lost_the_store(self, fleet):
+        # Guards against relying on relays that respond but receive no updates.
         relays, behind = self.start(fleet)
         for relay in relays:
             cut_off_store(relay)
@@ -393,7 +394,7 @@
         assert len(fleet.platform.group.promotions) == 1
 
 
-class TestChangesOfPrimary:
+class TestPrimaryChanges:
     def change_to(self, fleet):
         return {name for name, _, _ in fleet.platform.group.promotions}
 
@@ -420,9 +421,9 @@
         assert len(fleet.platform.group.promotions) == 1
 
     def test_leaving_primary_stays_until_a_replica_has_its_log(self, fleet):
-        # A primary is to leave while its replicas receive nothing. Promoted all the
-        # same, a replica lacks what was acknowledged meanwhile, and callers find their
-        # changes gone.
+        # A primary is to leave while its replicas receive nothing. If a replica were
+        # promoted anyway, it would lack commits that were acknowledged meanwhile, and
+        # callers would lose their changes.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         primary, *replicas = fleet.platform.group.instances.values()
@@ -442,8 +443,8 @@
         fleet.wait(lambda: caller.query("FETCH last").rows == ["1"], "the last change")
 
     def test_silent_primary_is_replaced(self, fleet):
-        # The primary falls silent for good and its connections stay open. Nobody says
-        # that it is dead; without a change every write would time out from then on.
+        # The primary stops responding while its connections stay open. Nothing reports
+        # it as dead; without a failover every write would time out from then on.
         fleet.start_ready("d1", "d2")
         caller = open_session(fleet, STRICT)
         run_ok(caller, "STORE a 1")
@@ -457,9 +458,9 @@
         epochs = [epoch for _, _, epoch in fleet.platform.group.promotions]
         assert epochs == sorted(set(epochs))
 
-    def test_change_that_its_holder_began_before_a_restart_is_finished(self, fleet):
-        # A daemon writes that a change is under way and is killed. Until somebody takes
-        # it over the service has no primary; the daemon itself comes back first.
+    def test_primary_change_is_completed_after_its_holder_restarts(self, fleet):
+        # A daemon records the start of a primary change and is killed. The service has
+        # no primary until the change is completed, here by the restarted daemon itself.
         fleet.store.put_json(
             "bronzerelay/leads/orders",
             ["orders", "orders-0", 1, 4, "d1", False, "orders-0", False],
@@ -470,8 +471,8 @@
         assert fleet.platform.group.promotions[0][1:] == ("d1", 5)
 
     def test_open_transaction_ends_with_its_primary(self, fleet):
-        # A transaction is open at a primary that is replaced. Its commit could go
-        # through there and be rolled back later, though the caller was told it is kept.
+        # A transaction is open at a primary that is replaced. Its commit could succeed
+        # there and be rolled back later, although it was acknowledged to the caller.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         run_ok(caller, "BEGIN")
@@ -483,9 +484,9 @@
         assert caller.query("COMMIT").error == "ABORTED"
         assert primary.log == []
 
-    def test_link_that_is_being_opened_holds_up_no_change(self, fleet):
-        # A primary goes dark and takes connections that it never answers. Counted as
-        # used until they fail, it would be replaced half a second later.
+    def test_opening_a_link_delays_no_primary_change(self, fleet):
+        # A primary accepts connections but never responds. If it counted as in use
+        # until the handshakes fail, it would be replaced half a second later.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet, STRICT)
         dark = fleet.runtime.listen(Address(LOCAL, 0))
@@ -497,8 +498,8 @@
         assert daemon.guard.is_idle(SERVICE)
         dark.close()
 
-    def test_former_primary_that_lives_on_isnt_used(self, fleet):
-        # The old primary is cut from the other instances and takes itself for leading.
+    def test_former_primary_that_still_runs_isnt_used(self, fleet):
+        # The old primary is partitioned from the other instances and still acts as one.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet, STRICT)
         run_ok(caller, "STORE a 1")
@@ -519,10 +520,10 @@
     def test_caller_that_comes_before_the_configuration_is_served(
         self, fleet, monkeypatch
     ):
-        # All daemons have lost power and start again, and their callers come back at
-        # once. Refused for the few milliseconds that loading takes, each would use up
-        # one of its tries.
-        # A starved machine may take longer than a platform's store.
+        # All daemons restart after a power loss, and their callers reconnect at once.
+        # If callers were refused for the few milliseconds that loading takes, each
+        # would use up one of its retries. The limit is raised because loading may take
+        # longer on an overloaded machine.
         monkeypatch.setattr(session, "FIRST_CONFIG_MS", 5000)
         fleet.store.status = 503
         daemon = fleet.start("d1")
@@ -537,9 +538,9 @@
     def test_callers_of_a_daemon_that_has_just_started_arent_over_their_rate(
         self, fleet
     ):
-        # Each workspace's bucket is nearly empty at the start and earns an operation
-        # every two milliseconds. Callers far inside the rate were told that they were
-        # over it and should come back in a millisecond.
+        # Each workspace's bucket is nearly empty at the start and earns a token every
+        # two milliseconds. Callers far below the rate were refused for exceeding it,
+        # with a retry time of a millisecond.
         fleet.start("d1")
         callers = [LineCaller(fleet.runtime, fleet.address("d1")) for _ in range(4)]
         for caller in callers:
@@ -549,7 +550,7 @@
         replies = [caller.read_reply() for caller in callers]
         assert not [reply for reply in replies if "over its rate" in reply.text]
 
-    def test_caller_isnt_kept_waiting_for_a_store_that_is_out(self, fleet):
+    def test_caller_isnt_kept_waiting_for_an_unavailable_store(self, fleet):
         fleet.store.status = 503
         fleet.start("d1")
         caller = LineCaller(fleet.runtime, fleet.address("d1"))
@@ -559,7 +560,7 @@
 
 
 class TestStore:
-    def test_sessions_go_on_while_the_store_is_out(self, fleet):
+    def test_sessions_continue_while_the_store_is_unavailable(self, fleet):
         fleet.start_ready("d1", "d2")
         caller = open_session(fleet)
         fleet.store.status = 503
@@ -573,9 +574,9 @@
         version = fleet.platform.configure()
         fleet.wait(lambda: daemon.directory.version == version, "the new version")
 
-    def test_daemon_that_the_store_turns_away_hears_from_a_peer(self, fleet):
-        # The store refuses one daemon and serves the others. A key that is withdrawn
-        # meanwhile would go on working at that daemon.
+    def test_daemon_without_the_store_gets_updates_from_a_peer(self, fleet):
+        # The store fails for one daemon and serves the others. A key that is withdrawn
+        # meanwhile would remain valid at that daemon.
         first, second = fleet.start_ready("d1", "d2")
 
         cut_off_store(second)
@@ -584,9 +585,9 @@
         fleet.wait(lambda: first.directory.version == version, "the new version")
         fleet.wait(lambda: second.directory.version == version, "it at the other one")
 
-    def test_entries_that_lapse_for_a_moment_stay_in_use(self, fleet):
-        # While the store was away all entries lapsed; they come back soon after. Taken
-        # as gone at once, there would be no instance to use for that time.
+    def test_instances_whose_entries_expire_briefly_stay_in_use(self, fleet):
+        # All entries expired while the store was unavailable, and are registered again
+        # soon after. If they were dropped at once, no instance could be used meanwhile.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet)
         for name in fleet.platform.group.instances:
@@ -602,8 +603,10 @@
 
 
 class TestLostWatches:
-    def test_change_is_in_force_after_an_outage_that_lost_all_watches(self, fleet):
-        # Guards against lost watches that are waited out, as no peer is ahead.
+    def test_configuration_is_in_force_after_an_outage_that_lost_all_watches(
+        self, fleet
+    ):
+        # Guards against waiting for lost watches to time out when no peer knows more.
         daemons = fleet.start_ready("d1", "d2", "d3")
         wait_for_long_watches(fleet)
         fleet.store.swallow = True
@@ -614,10 +617,10 @@
         wait_for_version(fleet, daemons, fleet.platform.configure())
 
 
-class TestAlone:
-    def test_daemon_that_hears_of_nobody_goes_by_the_store(self, fleet):
-        # The only daemon that is left proves by the store that its primary leads. It
-        # asked only when the last proof had run out, and refused a third of the
+class TestIsolation:
+    def test_daemon_without_peers_proves_its_primary_by_the_store(self, fleet):
+        # The only remaining daemon proves by the store that its primary is current. It
+        # asked only after the last proof had expired, and refused a third of the
         # statements meanwhile.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
@@ -627,10 +630,10 @@
             fleet.runtime.clock.sleep_ms(25)
         assert refused <= 6
 
-    def test_daemon_that_hears_of_nobody_at_all_stops_admitting(self, fleet):
-        # A daemon loses sight of its peers and of the store. The others take it for
-        # gone and spend its part of a workspace's rate, while it goes on reading old
-        # data at replicas: together they run more than the workspace may.
+    def test_daemon_without_peers_and_store_stops_admitting(self, fleet):
+        # A daemon loses contact with its peers and with the store. The others consider
+        # it gone and spend its share of a workspace's rate, while it still serves reads
+        # of old data at replicas: together they would exceed the rate.
         for route in fleet.platform.routes:
             route["max_staleness_ms"] = 60_000
         fleet.platform.configure()
@@ -646,10 +649,10 @@
         assert reply.error == "RETRY"
         assert "Come back in" in reply.text
 
-    def test_caller_of_a_daemon_that_is_cut_off_is_sent_elsewhere(self, fleet):
-        # A session stands open at a daemon that hears of nobody for seconds. Its caller
-        # is refused, comes back on the same connection, and has used up its retries
-        # before the cut ends, while all other daemons could serve it.
+    def test_session_at_an_isolated_daemon_is_closed(self, fleet):
+        # A session is open at a daemon that is isolated for seconds. Its caller is
+        # refused, retries on the same connection, and uses up its retries before the
+        # partition ends, although all other daemons could serve it.
         fleet.start_ready("d1")
         caller = open_session(fleet, STRICT)
         run_ok(caller, "STORE row 1")
@@ -661,8 +664,8 @@
 
 
 class TestStopping:
-    def test_stopping_daemon_isnt_ready_and_cuts_nothing(self, fleet):
-        # A daemon is told to stop while a statement runs and a session stands idle.
+    def test_stopping_daemon_isnt_ready_and_interrupts_nothing(self, fleet):
+        # A daemon is told to stop while a statement runs and another session is idle.
         daemon = fleet.start_ready("d1")[0]
         fleet.platform.group.instances["orders-0"].work_ms = 300
         busy, idle = open_session(fleet, STRICT), open_session(fleet, STRICT)
@@ -688,7 +691,7 @@
             return True
 
     def test_line_over_the_limit_ends_the_session(self, fleet):
-        # A caller sends a line without an end. Kept, it would fill the memory.
+        # A caller sends a line without an end. Buffering it would exhaust the memory.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet)
         try:
@@ -700,7 +703,7 @@
         fleet.wait(lambda: not daemon._sessions, "the session's end")
 
     def test_half_a_line_ends_the_session(self, fleet, monkeypatch):
-        # A caller sends half a line and waits. It would hold a task for ever.
+        # A caller sends half a line and waits. It would occupy a task forever.
         monkeypatch.setattr("bronzerelay.pooler.session.LINE_TIMEOUT_MS", 200)
         fleet.start_ready("d1")
         caller = open_session(fleet)
@@ -731,7 +734,7 @@
         assert [reply.error for reply in replies] == [""] * 6
         assert replies[-1].rows == ["3"]
 
-    def test_many_names_are_refused(self, fleet):
+    def test_too_many_names_are_refused(self, fleet):
         fleet.start_ready("d1")
         caller = open_session(fleet)
         errors = {caller.query(f"SET v{n} x").error for n in range(600)}
