--- a/bronzerelay/pooler/runner.py
+++ b/bronzerelay/pooler/runner.py
@@ -170,7 +170,9 @@
     def _acquire_slot(self, job: Job, candidates: list[str]) -> str | Refusal:
         """Return the first candidate with a free slot, waiting if there is none."""
         queue = self._queue_of(job.route.service)
-        return queue.acquire_endpoint(job.workspace, tuple(candidates), job.slot_deadline_ms)
+        return queue.acquire_endpoint(
+            job.workspace, tuple(candidates), job.slot_deadline_ms
+        )
 
     def max_idle_links(self, service: str) -> int:
         """Return how many idle links to one instance this daemon may keep.
