--- a/bronzerelay/pooler/__init__.py
+++ b/bronzerelay/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""The session pooler: callers' sessions laid on few connections to instances."""
+"""The session pooler: multiplexes callers' sessions onto few instance connections."""
--- a/bronzerelay/pooler/daemon.py
+++ b/bronzerelay/pooler/daemon.py
@@ -105,7 +105,7 @@
 
 
 class Plugins(NamedTuple):
-    """The functions that an adapter provides for its platform."""
+    """What a platform adapter provides."""
 
     codec: LineCodec
     store: Store
--- a/bronzerelay/pooler/fleetrates.py
+++ b/bronzerelay/pooler/fleetrates.py
@@ -197,19 +197,19 @@
         """
         now_ms = self._clock.now_ms()
         with self._lock:
-            known = self._find_reports(peer, incarnation, report.scope)
+            reports = self._find_reports(peer, incarnation, report.scope)
             source = self._find_source(peer, report.scope, now_ms)
             is_current = source is not None and not source.is_silent(now_ms)
             for name, tally in report.tallies.items():
-                base = known.tallies.get(name)
-                if base is None and known.complete:
+                base = reports.tallies.get(name)
+                if base is None and reports.complete:
                     base = ZERO_TALLY
-                known.tallies[name] = tally
+                reports.tallies[name] = tally
                 if base is not None and is_current:
                     self._apply_tally(
-                        known, report.scope, name, tally.minus(base), now_ms
+                        reports, report.scope, name, tally.minus(base), now_ms
                     )
-            known.complete = known.complete or report.full
+            reports.complete = reports.complete or report.full
             if source is not None:
                 source.add_report(report, as_of_ms)
 
@@ -220,11 +220,11 @@
         unknown when it admitted the operations of its first report, so these aren't
         counted.
         """
-        known = self._reports.get((peer, scope))
-        if known is None or known.incarnation != incarnation:
-            known = PeerReports(incarnation, known is not None)
-            self._reports[peer, scope] = known
-        return known
+        reports = self._reports.get((peer, scope))
+        if reports is None or reports.incarnation != incarnation:
+            reports = PeerReports(incarnation, reports is not None)
+            self._reports[peer, scope] = reports
+        return reports
 
     def _find_source(self, peer: str, scope: Scope, now_ms: float) -> Source | None:
         """Return the group whose current reporter is this peer, or None."""
@@ -254,8 +254,8 @@
             return
         applied = reports.applied.get(workspace, ZERO_TALLY)
         reports.applied[workspace] = applied.plus(added)
-        known = sums.get(workspace)
-        total = known.tally.plus(added) if known else added
+        previous = sums.get(workspace)
+        total = previous.tally.plus(added) if previous else added
         sums[workspace] = TallySum(total, now_ms)
 
     # Admitting
--- a/bronzerelay/pooler/messages.py
+++ b/bronzerelay/pooler/messages.py
@@ -41,7 +41,7 @@
 
 
 class Prepared(NamedTuple):
-    """A prepared statement: a read or write, and the text of its query shape."""
+    """A prepared statement: whether it writes, and the shape of its query."""
 
     writes: bool
     shape: str
@@ -86,7 +86,7 @@
     UNPREPARED = enum.auto()  # not run: the prepared name is unknown
     LAGGING = enum.auto()  # not run: the log hasn't reached the required position
     READ_ONLY = enum.auto()  # not run: the instance isn't the primary
-    WRONG_INSTANCE = enum.auto()  # not run: the address is another instance's
+    WRONG_INSTANCE = enum.auto()  # not run: the address belongs to another one
     TOO_MANY_LINKS = enum.auto()  # not run: no connection is free
     ABORTED = enum.auto()  # the transaction was rolled back
     UNREACHABLE = enum.auto()  # nothing was sent
--- a/bronzerelay/pooler/runner.py
+++ b/bronzerelay/pooler/runner.py
@@ -235,7 +235,7 @@
         try:
             return refuse_no_primary() if entry is None else action(slot, entry)
         finally:
-            self._release(slot)
+            self._release_slot(slot)
 
     def _try_single(
         self, job: Job, requirement: ReadRequirement, tried: frozenset[str]
@@ -322,7 +322,7 @@
                 return candidates
             self._runtime.sleep_ms(RETRY_PAUSE_MS)
 
-    def _release(self, slot: AcquiredSlot) -> None:
+    def _release_slot(self, slot: AcquiredSlot) -> None:
         self._placement.view_of(slot.instance).outstanding -= 1
         self._queue_of(slot.service).release(slot.instance)
 
@@ -355,7 +355,7 @@
         entry: InstanceEntry,
         call: Callable[[], Answer],
     ) -> Answer | Refusal:
-        """Repeat the call to a busy primary on the same link until it has a slot.
+        """Retry a call to a busy primary on the same link until the slot deadline.
 
         No other instance can serve the statement, and a new link would itself take a
         slot.
@@ -551,7 +551,7 @@
                 self._log_attempt(job, slot, ReadRequirement(None, as_primary), outcome)
             return outcome
         finally:
-            self._release(slot)
+            self._release_slot(slot)
 
     def _call_in_transaction(
         self, link: InstanceLink, job: Job, as_primary: bool
--- a/lab/poolermutations.py
+++ b/lab/poolermutations.py
@@ -162,7 +162,7 @@
     Mutation(
         "what a process spent before this one began isn't counted",
         POOLER + "fleetrates.py",
-        "if base is None and known.complete:",
+        "if base is None and reports.complete:",
         "if base is None:",
         "tests/test_fleetrates.py::TestReports",
     ),
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -486,7 +486,7 @@
 
     def test_opening_a_link_delays_no_primary_change(self, fleet):
         # A primary accepts connections but never responds. If it counted as in use
-        # until the handshakes fail, it would be replaced half a second later.
+        # until the handshakes fail, the failover would be delayed by half a second.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet, STRICT)
         dark = fleet.runtime.listen(Address(LOCAL, 0))
@@ -499,7 +499,8 @@
         dark.close()
 
     def test_former_primary_that_still_runs_isnt_used(self, fleet):
-        # The old primary is partitioned from the other instances and still acts as one.
+        # The old primary is partitioned from the other instances and still acts as
+        # primary.
         daemon = fleet.start_ready("d1")[0]
         caller = open_session(fleet, STRICT)
         run_ok(caller, "STORE a 1")
