--- a/bronzerelay/pooler/counters.py
+++ b/bronzerelay/pooler/counters.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms, as one text page for the metrics address.
+"""Counters and latency histograms, rendered in the Prometheus text format.
 
-`prometheus-client` takes 12 MB of a process for this page (resident size after the
-import, measured on Linux with Python 3.11), so that its text format is written here.
+The format is written here because importing `prometheus-client` adds 12 MB to the
+resident size of a process (measured on Linux with Python 3.11).
 """
 
 from hdrh.histogram import HdrHistogram
@@ -9,20 +9,21 @@
 from bronzerelay.runtime import Runtime
 
 PREFIX = "bronzerelay_"
-# Latencies are kept in microseconds, from 1 µs to a minute, to two digits.
+# Latencies are recorded in microseconds, from 1 µs to a minute, with two digits.
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
 DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-# Labels come from callers, too; without a bound they would fill the memory.
+# The most label sets of a counter, and the most histograms. Labels may come from
+# callers and would otherwise exhaust the memory.
 LABEL_LIMIT = 512
-OTHER = (("other", "1"),)
+OVERFLOW_LABELS = (("other", "1"),)
 
 Labels = tuple[tuple[str, str], ...]
 
 
 class Counters:
-    """All that one daemon counts; every method may be called from any task."""
+    """The counters and histograms of one daemon; safe to call from any task."""
 
     def __init__(self, runtime: Runtime):
         self._lock = runtime.make_lock()
@@ -35,7 +36,7 @@
         with self._lock:
             counts = self._counts.setdefault(name, {})
             if key not in counts and len(counts) >= LABEL_LIMIT:
-                key = OTHER
+                key = OVERFLOW_LABELS
             counts[key] = counts.get(key, 0) + 1
 
     def record_ms(self, name: str, took_ms: float) -> None:
@@ -51,18 +52,18 @@
             histogram.record_value(value_us)
 
     def render(self, gauges: dict[str, float]) -> bytes:
-        """Return the page, with `gauges` as they stand now."""
+        """Return the page, including the current values of `gauges`."""
         lines = [f"{PREFIX}{name} {value:g}" for name, value in gauges.items()]
         with self._lock:
             for name, counts in sorted(self._counts.items()):
                 for labels, value in sorted(counts.items()):
-                    lines.append(f"{PREFIX}{name}_total{_write(labels)} {value}")
+                    lines.append(f"{PREFIX}{name}_total{_format(labels)} {value}")
             for name, histogram in sorted(self._histograms.items()):
-                lines += _write_histogram(name, histogram)
+                lines += _format_histogram(name, histogram)
         return ("\n".join(lines) + "\n").encode()
 
 
-def _write(labels: Labels) -> str:
+def _format(labels: Labels) -> str:
     if not labels:
         return ""
     inner = ",".join(f'{name}="{_escape(value)}"' for name, value in labels)
@@ -73,12 +74,12 @@
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def _write_histogram(name: str, histogram: HdrHistogram) -> list[str]:
+def _format_histogram(name: str, histogram: HdrHistogram) -> list[str]:
     lines = []
     for quantile in QUANTILES:
         value_ms = histogram.get_value_at_percentile(quantile) / 1000
-        label = _write((("route", name), ("quantile", f"{quantile / 100:g}")))
+        label = _format((("route", name), ("quantile", f"{quantile / 100:g}")))
         lines.append(f"{PREFIX}latency_ms{label} {value_ms:g}")
-    count = _write((("route", name),))
+    count = _format((("route", name),))
     lines.append(f"{PREFIX}latency_ms_count{count} {histogram.get_total_count()}")
     return lines
--- a/bronzerelay/pooler/fleetrates.py
+++ b/bronzerelay/pooler/fleetrates.py
@@ -1,11 +1,12 @@
-"""A workspace's rate over the whole fleet, from counts that daemons tell each other.
-
-Every daemon keeps the bucket of the whole fleet: what it admits and what the others
-report as admitted leaves it. What the others admit until they report next isn't known,
-so that a daemon goes by what callers ask for, which is reported too: where they ask for
-more than the bucket holds, each daemon admits the same part of what it is asked for.
-What a daemon that isn't heard of may admit is set aside at once, so that a cut splits
-the rate instead of doubling it.
+"""Fleet-wide rate limits of workspaces, from counts that daemons report to each other.
+
+Every daemon keeps a token bucket per workspace for the whole fleet. It takes tokens for
+the operations that it admits itself and for those that the others report as admitted.
+What the others admit before their next report isn't known, so daemons also report how
+many operations callers request: if more are requested than the bucket holds, each
+daemon admits the same fraction of its own requests. The share of a daemon that isn't
+heard from is set aside at once, so that a network partition splits the rate instead of
+doubling it.
 """
 
 import math
@@ -14,64 +15,66 @@
 
 from bronzerelay.pooler.fleetconfig import Workspace
 from bronzerelay.pooler.sources import (
-    NOTHING,
     SILENT_MS,
+    ZERO_TALLY,
     PeerReports,
     Report,
     Scope,
     Source,
     SourceGroup,
-    Sum,
     Tally,
+    TallySum,
 )
 from bronzerelay.runtime import Runtime
 
-# The time that reports need to reach everybody, in milliseconds: what is spent within
-# it is spent without knowing of the others.
-ROUND_MS = 300
-# The same through relays: from a daemon to its relay, to that of another failure
+# How long a report takes to reach all daemons, in milliseconds. Operations within this
+# time are admitted without knowing of those of the other daemons.
+PROPAGATION_MS = 300
+# The same through relays: from a daemon to its relay, to the relay of another failure
 # domain, and to the daemons there.
-RELAYED_ROUND_MS = 3 * ROUND_MS
-# What a process begins with, in operations. What its predecessor spent isn't known to
-# it, so that it begins with next to nothing; with nothing at all the first caller of
-# each workspace would be refused.
-FIRST_TOKENS = 1.0
-# How long what callers ask for is remembered, in milliseconds: two reports, so that a
-# flood is seen at once and a single caller isn't taken for one.
-DEMAND_MS = 600
-# The part of what is saved up that is given away before the next reports come. With
-# all of it given away each time, the fleet would spend and starve by turns.
-SAVED_PART = 0.5
-
-
-class Grant(NamedTuple):
-    """What becomes of an operation: it runs after `wait_ms`, or may come back then."""
+RELAYED_PROPAGATION_MS = 3 * PROPAGATION_MS
+# The tokens of a new bucket. A process doesn't know what its predecessor spent, so it
+# starts with next to none; with none at all the first caller of each workspace would be
+# refused.
+INITIAL_TOKENS = 1.0
+# The time constant with which the demand decays, in milliseconds. It covers two
+# reports, so that a flood is noticed at once but a single caller isn't taken for one.
+DEMAND_WINDOW_MS = 600
+# The fraction of the saved tokens that may be spent before the next reports arrive. If
+# all were spent, the fleet would alternate between overspending and refusing.
+SAVED_FRACTION = 0.5
+
+
+class RateDecision(NamedTuple):
+    """Whether an operation is admitted, and after how long to run or to retry it."""
 
     admitted: bool
     wait_ms: float = 0.0
 
 
 class Bucket:
-    """The fleet's bucket of one workspace, as this daemon sees it."""
+    """The fleet's token bucket of one workspace, as seen by this daemon."""
 
     def __init__(self, spec: Workspace, now_ms: float, credit: float):
         self.spec = spec
-        self.tokens = min(FIRST_TOKENS, spec.burst)
+        self.tokens = min(INITIAL_TOKENS, spec.burst)
         self.filled_at_ms = now_ms
-        # All that this process has admitted and was asked for, as it is reported.
+        # The totals of this process, which it reports to its peers.
         self.admitted = 0
-        self.asked = 0
+        self.requested = 0
         self.changed_at_ms = 0.0
-        # What the fleet was asked for lately; older operations count for less.
+        # The operations that the whole fleet was recently asked for, decaying with
+        # time.
         self.demand = 0.0
-        # What adds up to the next operation while only a part is admitted.
+        # Accumulates the fractions of operations while only a fraction is admitted.
         self.credit = credit
-        # The part of the rate that is left to the daemons that are heard of.
-        self.part = 1.0
+        # The fraction of all daemons that are heard from, which is the fraction of the
+        # rate that they may spend.
+        self.fraction = 1.0
 
 
 class FleetRates:
-    """All workspaces' buckets at this daemon."""
+    """The buckets of all workspaces at this daemon."""
 
     def __init__(self, runtime: Runtime, name: str):
         self._clock = runtime.clock
@@ -81,35 +84,36 @@
         self._buckets: dict[str, Bucket] = {}
         self._reports: dict[tuple[str, Scope], PeerReports] = {}
         self._sources: dict[str, Source] = {}
-        # What was counted of this failure domain's other daemons, and of other domains.
-        self._sums: dict[Scope, dict[str, Sum]] = {Scope.OWN: {}, Scope.DOMAIN: {}}
-        self._round_ms = ROUND_MS
+        # The applied tallies of the other daemons of this failure domain, and of the
+        # other domains.
+        self._sums: dict[Scope, dict[str, TallySum]] = {Scope.OWN: {}, Scope.DOMAIN: {}}
+        self._propagation_ms = PROPAGATION_MS
 
     def set_workspaces(self, specs: Iterable[Workspace]) -> None:
-        """Take over the rates of a configuration."""
+        """Apply the rates of a configuration."""
         now_ms = self._clock.now_ms()
         with self._lock:
-            kept = {}
+            updated = {}
             for spec in specs:
                 bucket = self._buckets.get(spec.name)
                 if bucket is None:
-                    # Daemons that add up in step would admit and refuse in step.
+                    # A random start, or all daemons would admit and refuse in step.
                     bucket = Bucket(spec, now_ms, self._random.random())
                 bucket.spec = spec
                 bucket.tokens = min(bucket.tokens, spec.burst)
-                kept[spec.name] = bucket
-            self._buckets = kept
+                updated[spec.name] = bucket
+            self._buckets = updated
 
     def set_members(self, names: Iterable[str]) -> None:
-        """Take over who else may admit operations, where each reports here itself."""
+        """Set the other daemons that admit operations, each reporting its own."""
         others = [name for name in names if name != self._name]
         self.set_sources({name: SourceGroup(Scope.OWN, (name,)) for name in others})
 
     def set_sources(self, groups: dict[str, SourceGroup]) -> None:
-        """Take over who tells of whom; all members but this one belong to one group."""
+        """Set who reports for whom; each other member belongs to exactly one group."""
         now_ms = self._clock.now_ms()
         with self._lock:
-            kept = {}
+            updated = {}
             for key, group in groups.items():
                 source = self._sources.get(key)
                 if source is None or source.group.scope is not group.scope:
@@ -117,17 +121,19 @@
                 source.group = group
                 if source.current not in group.names:
                     source.current = None
-                kept[key] = source
-            self._sources = kept
+                updated[key] = source
+            self._sources = updated
             is_relayed = any(group.scope is not Scope.OWN for group in groups.values())
-            self._round_ms = RELAYED_ROUND_MS if is_relayed else ROUND_MS
+            self._propagation_ms = (
+                RELAYED_PROPAGATION_MS if is_relayed else PROPAGATION_MS
+            )
 
     # Reports
 
     def make_report(
         self, since_ms: float | None, scope: Scope = Scope.OWN, receiver: str = ""
     ) -> Report:
-        """Return what has changed since a moment, or all when that is None."""
+        """Return the tallies that changed since a time, or all if it is None."""
         oldest_ms = -math.inf if since_ms is None else since_ms
         now_ms = self._clock.now_ms()
         with self._lock:
@@ -136,95 +142,99 @@
                 names.update(*self._sums.values())
             tallies = {}
             for name in names:
-                tally, changed_at_ms = self._add_up(name, scope, receiver)
-                if tally.asked and changed_at_ms >= oldest_ms:
+                tally, changed_at_ms = self._sum_tallies(name, scope, receiver)
+                if tally.requested and changed_at_ms >= oldest_ms:
                     tallies[name] = tally
-            heard, members = self._count_covered(scope, receiver, now_ms)
-        return Report(since_ms is None, tallies, scope, heard, members)
+            reachable, members = self._count_members(scope, receiver, now_ms)
+        return Report(since_ms is None, tallies, scope, reachable, members)
 
-    def _add_up(self, workspace: str, scope: Scope, receiver: str) -> Sum:
-        """Return what a report of a scope says of a workspace to a receiver."""
+    def _sum_tallies(self, workspace: str, scope: Scope, receiver: str) -> TallySum:
+        """Return the tally of a workspace for a report with this scope and receiver."""
         bucket = self._buckets.get(workspace)
-        total, changed_at_ms = NOTHING, -math.inf
+        total, changed_at_ms = ZERO_TALLY, -math.inf
         if bucket is not None:
-            total = Tally(bucket.admitted, bucket.asked)
+            total = Tally(bucket.admitted, bucket.requested)
             changed_at_ms = bucket.changed_at_ms
-        counted = {
+        other_scopes = {
             Scope.OWN: (),
             Scope.DOMAIN: (Scope.OWN,),
             Scope.FLEET: (Scope.OWN, Scope.DOMAIN),
         }[scope]
-        for part in counted:
-            found = self._sums[part].get(workspace)
-            if found is not None:
-                total = total.plus(found.tally)
-                changed_at_ms = max(changed_at_ms, found.changed_at_ms)
+        for other_scope in other_scopes:
+            other = self._sums[other_scope].get(workspace)
+            if other is not None:
+                total = total.plus(other.tally)
+                changed_at_ms = max(changed_at_ms, other.changed_at_ms)
         if scope is Scope.FLEET:
             reports = self._reports.get((receiver, Scope.OWN))
             if reports is not None:
-                total = total.minus(reports.counted.get(workspace, NOTHING))
-        return Sum(total, changed_at_ms)
+                total = total.minus(reports.applied.get(workspace, ZERO_TALLY))
+        return TallySum(total, changed_at_ms)
 
-    def _count_covered(
+    def _count_members(
         self, scope: Scope, receiver: str, now_ms: float
     ) -> tuple[int, int]:
-        """Return how many members a report stands for: those heard of, and all."""
-        heard = members = 1
+        """Return how many reachable members, and members, a report covers."""
+        reachable = members = 1
         if scope is Scope.OWN:
-            return heard, members
+            return reachable, members
         for source in self._sources.values():
             if scope is Scope.DOMAIN and source.group.scope is not Scope.OWN:
                 continue
             if source.group.names == (receiver,):
                 continue
             members += source.members
-            heard += 0 if source.is_silent(now_ms) else source.heard
-        return heard, members
+            reachable += 0 if source.is_silent(now_ms) else source.reachable
+        return reachable, members
 
     def apply_report(
-        self, peer: str, incarnation: int, heard_at_ms: float, report: Report
+        self, peer: str, incarnation: int, as_of_ms: float, report: Report
     ) -> None:
-        """Take what a peer tells as admitted out of the buckets.
+        """Take what a peer reports as admitted out of the buckets.
 
-        What was admitted while it wasn't heard of was set aside already.
+        Operations that it admitted while it was silent aren't taken out: its share was
+        set aside already.
         """
         now_ms = self._clock.now_ms()
         with self._lock:
-            known = self._find_reports(peer, incarnation, report.scope)
+            reports = self._find_reports(peer, incarnation, report.scope)
             source = self._find_source(peer, report.scope, now_ms)
-            counts = source is not None and not source.is_silent(now_ms)
+            is_current = source is not None and not source.is_silent(now_ms)
             for name, tally in report.tallies.items():
-                base = known.tallies.get(name)
-                if base is None and known.complete:
-                    base = NOTHING
-                known.tallies[name] = tally
-                if base is not None and counts:
-                    self._count(known, report.scope, name, tally.minus(base), now_ms)
-            known.complete = known.complete or report.whole
+                base = reports.tallies.get(name)
+                if base is None and reports.complete:
+                    base = ZERO_TALLY
+                reports.tallies[name] = tally
+                if base is not None and is_current:
+                    self._apply_tally(
+                        reports, report.scope, name, tally.minus(base), now_ms
+                    )
+            reports.complete = reports.complete or report.full
             if source is not None:
-                source.note(report, heard_at_ms)
+                source.add_report(report, as_of_ms)
 
     def _find_reports(self, peer: str, incarnation: int, scope: Scope) -> PeerReports:
         """Return what the peer's process has reported so far.
 
-        Of what it admitted before this process heard of it nobody knows when it was, so
-        that only a process that takes the place of a known one is taken to begin anew.
+        A process that replaces a known one counts from zero. For any other one it is
+        unknown when it admitted the operations of its first report, so these aren't
+        counted.
         """
-        known = self._reports.get((peer, scope))
-        if known is None or known.incarnation != incarnation:
-            known = PeerReports(incarnation, known is not None)
-            self._reports[peer, scope] = known
-        return known
+        reports = self._reports.get((peer, scope))
+        if reports is None or reports.incarnation != incarnation:
+            reports = PeerReports(incarnation, reports is not None)
+            self._reports[peer, scope] = reports
+        return reports
 
     def _find_source(self, peer: str, scope: Scope, now_ms: float) -> Source | None:
-        """Return the group for which the peer's word counts now, or None."""
+        """Return the group whose current reporter is this peer, or None."""
         for source in self._sources.values():
             group = source.group
             if group.scope is scope and peer in group.names:
-                return source if source.believes(peer, now_ms) else None
+                return source if source.accepts(peer, now_ms) else None
         return None
 
-    def _count(
+    def _apply_tally(
         self,
         reports: PeerReports,
         scope: Scope,
@@ -235,107 +245,111 @@
         bucket = self._buckets.get(workspace)
         if bucket is not None:
             self._fill(bucket, now_ms)
-            # Less than before where more was given back than spent.
+            # The number is negative if the peer refunded more than it spent.
             left = bucket.tokens - added.admitted
             bucket.tokens = min(bucket.spec.burst, left)
-            bucket.demand = max(0.0, bucket.demand + added.asked)
+            bucket.demand = max(0.0, bucket.demand + added.requested)
         sums = self._sums.get(scope)
         if sums is None:
             return
-        counted = reports.counted.get(workspace, NOTHING)
-        reports.counted[workspace] = counted.plus(added)
-        known = sums.get(workspace)
-        total = known.tally.plus(added) if known else added
-        sums[workspace] = Sum(total, now_ms)
-
-    # Spending
-
-    def spend(self, workspace: str, patience_ms: float = 0.0) -> Grant:
-        """Spend one operation, one that is due within `patience_ms` included.
-
-        A bucket that is nearly empty, as that of a process that has just started,
-        earns its next operation in a few milliseconds. Refused for so little, a caller
-        far inside its rate would come back to another daemon and start anew. While
-        callers ask for more than the rate nobody waits: what one waits for another one
-        would have got, and all would only be later.
+        applied = reports.applied.get(workspace, ZERO_TALLY)
+        reports.applied[workspace] = applied.plus(added)
+        previous = sums.get(workspace)
+        total = previous.tally.plus(added) if previous else added
+        sums[workspace] = TallySum(total, now_ms)
+
+    # Admitting
+
+    def spend(self, workspace: str, max_wait_ms: float = 0.0) -> RateDecision:
+        """Spend one token, or one that is due within `max_wait_ms`.
+
+        A bucket that is nearly empty, such as that of a process that has just started,
+        earns its next token in a few milliseconds. A caller far below its rate that was
+        refused for so little would have to start again at another daemon. While callers
+        request more than the rate, nobody waits: waiting would only delay all of them
+        without admitting more.
         """
         now_ms = self._clock.now_ms()
         with self._lock:
             bucket = self._buckets.get(workspace)
             if bucket is None:
-                return Grant(True)
+                return RateDecision(True)
             self._fill(bucket, now_ms)
-            bucket.asked += 1
+            bucket.requested += 1
             bucket.changed_at_ms = now_ms
             bucket.demand += 1
-            rate = max(bucket.spec.rate * bucket.part, 0.001)
+            rate = max(bucket.spec.rate * bucket.fraction, 0.001)
             due_ms = max(0.0, (1 - bucket.tokens) / rate * 1000)
-            is_flooded = bucket.demand * 1000 / DEMAND_MS > rate
-            if due_ms > (0.0 if is_flooded else patience_ms):
-                return Grant(False, max(1.0, due_ms))
-            expected = bucket.demand * self._round_ms / DEMAND_MS
-            budget = bucket.tokens * SAVED_PART + rate * self._round_ms / 1000
-            # With no more care than for tokens, a flood through 40 daemons gets 58 to
-            # 164 operations a second of 100 (simulated), with it 79 to 105.
+            is_over_rate = bucket.demand * 1000 / DEMAND_WINDOW_MS > rate
+            if due_ms > (0.0 if is_over_rate else max_wait_ms):
+                return RateDecision(False, max(1.0, due_ms))
+            expected = bucket.demand * self._propagation_ms / DEMAND_WINDOW_MS
+            budget = bucket.tokens * SAVED_FRACTION + rate * self._propagation_ms / 1000
+            # In simulations of a flood through 40 daemons at a rate of 100 a second,
+            # 79 to 105 operations a second were admitted, and 58 to 164 if tokens alone
+            # decided.
             bucket.credit += min(1.0, max(0.0, budget / expected))
             if bucket.credit < 1:
-                # So long the rate takes for those who come too much in one round.
-                return Grant(False, max(1.0, (expected - budget) / rate * 1000))
+                # How long the rate takes to earn what is requested beyond the budget.
+                return RateDecision(False, max(1.0, (expected - budget) / rate * 1000))
             bucket.credit -= 1
             bucket.tokens -= 1
             bucket.admitted += 1
-            return Grant(True, due_ms)
+            return RateDecision(True, due_ms)
 
     def describe(self, workspace: str) -> str:
-        """Return what a decision about a workspace goes by, for people."""
+        """Return the inputs of a decision about a workspace as readable text."""
         with self._lock:
             bucket = self._buckets.get(workspace)
             if bucket is None:
                 return "it has no rate"
-            asked = bucket.demand * 1000 / DEMAND_MS
+            recent = bucket.demand * 1000 / DEMAND_WINDOW_MS
             return (
                 f"{bucket.tokens:.1f} of {bucket.spec.burst:g} operations left, "
-                f"{bucket.spec.rate:g} a second due, {asked:.1f} a second asked for, "
-                f"{bucket.part:.0%} of the daemons heard of"
+                f"{bucket.spec.rate:g} a second due, {recent:.1f} a second asked for, "
+                f"{bucket.fraction:.0%} of the daemons heard of"
             )
 
-    def give_back(self, workspace: str) -> None:
-        """Take back an operation that no instance has run.
+    def refund(self, workspace: str) -> None:
+        """Return the token of an operation that no instance has run.
 
-        Kept, each refusal for another reason would use up the workspace's rate, and a
-        caller that comes back as it was told would be refused over it.
+        Otherwise each refusal for another reason would use up the workspace's rate, and
+        a caller that retries as it was told would be refused for exceeding it.
         """
         with self._lock:
             bucket = self._buckets.get(workspace)
             if bucket is not None and bucket.admitted > 0:
                 bucket.tokens = min(bucket.spec.burst, bucket.tokens + 1)
                 bucket.admitted -= 1
-                bucket.asked -= 1
+                bucket.requested -= 1
                 bucket.demand = max(0.0, bucket.demand - 1)
                 bucket.changed_at_ms = self._clock.now_ms()
 
     def _fill(self, bucket: Bucket, now_ms: float) -> None:
-        """Refill the bucket with the part of the rate that this side may spend."""
+        """Refill the bucket with the fraction of the rate for the reachable daemons."""
         elapsed_ms = now_ms - bucket.filled_at_ms
         if elapsed_ms <= 0:
             return
-        part = self._work_out_part(now_ms)
-        if part < bucket.part:
-            # The silent ones may spend their part of what is saved up, too, and have
-            # spent unheard since they fell silent, as this side has.
-            lost = bucket.part - part
-            bucket.tokens = min(bucket.tokens, bucket.tokens * part / bucket.part)
-            bucket.tokens -= bucket.spec.rate * lost * SILENT_MS / 1000
-        bucket.part = part
+        fraction = self._find_reachable_fraction(now_ms)
+        if fraction < bucket.fraction:
+            # Silent daemons may also spend their fraction of the saved tokens. And
+            # since their last report both sides may have spent that fraction of the
+            # rate.
+            lost_fraction = bucket.fraction - fraction
+            bucket.tokens = min(
+                bucket.tokens, bucket.tokens * fraction / bucket.fraction
+            )
+            bucket.tokens -= bucket.spec.rate * lost_fraction * SILENT_MS / 1000
+        bucket.fraction = fraction
         spec = bucket.spec
-        earned = spec.rate * part * elapsed_ms / 1000
-        bucket.tokens = min(spec.burst * part, bucket.tokens + earned)
+        earned = spec.rate * fraction * elapsed_ms / 1000
+        bucket.tokens = min(spec.burst * fraction, bucket.tokens + earned)
         bucket.filled_at_ms = now_ms
-        bucket.demand *= math.exp(-elapsed_ms / DEMAND_MS)
+        bucket.demand *= math.exp(-elapsed_ms / DEMAND_WINDOW_MS)
 
-    def _work_out_part(self, now_ms: float) -> float:
-        heard = members = 1
+    def _find_reachable_fraction(self, now_ms: float) -> float:
+        reachable = members = 1
         for source in self._sources.values():
             members += source.members
-            heard += 0 if source.is_silent(now_ms) else source.heard
-        return heard / members
+            reachable += 0 if source.is_silent(now_ms) else source.reachable
+        return reachable / members
