--- a/bronzerelay/group.py
+++ b/bronzerelay/group.py
@@ -134,10 +134,10 @@
         return None
 
     def acquire_primary(
-        self, work: Work, foresee: bool = True
+        self, work: Work, refuse_early: bool = True
     ) -> Result[tuple[str, int], Refusal]:
         """Return what `Instances.acquire_primary` returns."""
-        return self._instances.acquire_primary(work, foresee)
+        return self._instances.acquire_primary(work, refuse_early)
 
     def _finish_write(
         self, work: Work, attempt: int, written: Written
@@ -188,7 +188,7 @@
 
     def _try_settle(self, work: Work, attempt: int) -> Settled | None:
         # A refusal would only be followed by the next try.
-        found = self.acquire_primary(work, foresee=False)
+        found = self.acquire_primary(work, refuse_early=False)
         if not found.is_ok():
             return None
         name, term = found.ok
--- a/bronzerelay/instances.py
+++ b/bronzerelay/instances.py
@@ -73,11 +73,11 @@
         return min(self._timeout_ms, max(1.0, self.left_ms(work)))
 
     def acquire_primary(
-        self, work: Work, foresee: bool = True
+        self, work: Work, refuse_early: bool = True
     ) -> Result[tuple[str, int], Refusal]:
         """Return the primary and its term, with one of its slots taken.
 
-        With `foresee` work that would get a slot too late is refused at once.
+        With `refuse_early` work that would get a slot too late is refused at once.
         """
         while self.left_ms(work) > 0:
             if self._components.keeper.holds_writes:
@@ -88,7 +88,7 @@
                 break
             name, term = found
             slot = self._components.slots.acquire(
-                work.workspace, (name,), self.latest_start_ms(work), foresee
+                work.workspace, (name,), self.latest_start_ms(work), refuse_early
             )
             if not slot.is_ok():
                 return slot
--- a/bronzerelay/slots.py
+++ b/bronzerelay/slots.py
@@ -1,7 +1,7 @@
-"""The queue for a group's slots, fair between workspaces."""
+"""The queue for the slots of a group's endpoints, fair between workspaces."""
 
-# Annotations stay text, so that `expression` is imported by `acquire` alone: the pooler
-# takes slots without it.
+# Annotations stay text, so that only `acquire` imports `expression`: the pooler uses
+# this queue without that package.
 from __future__ import annotations
 
 import itertools
@@ -16,439 +16,469 @@
 if TYPE_CHECKING:
     from expression import Result
 
-# What a workspace's turn adds to its credit, and what a slot costs.
+# The deficit round robin: what a turn adds to a workspace's credit, and what a slot
+# costs.
 QUANTUM = 1
 SLOT_COST = 1
-# Turns that a workspace may save up while no free endpoint suits its waiters.
+# The credit that a workspace can save up while no free endpoint is usable for any of
+# its waiters.
 CREDIT_LIMIT = 4
-# A waiter that refused all free endpoints is asked again after this time at the
-# latest, as its choice may depend on the time.
-CHOICE_AGE_MS = 5
-# The assumed time in a slot before any was measured, and the weight of a new one.
-FIRST_HOLD_MS = 5
+# How long it counts that a waiter declined all free endpoints. Its selector is called
+# again after that, as the selection may depend on the time.
+DECLINE_VALID_MS = 5
+# The assumed time for which a slot is held before any is measured, and the weight of a
+# new measurement in the moving average.
+INITIAL_HOLD_MS = 5
 HOLD_WEIGHT = 0.05
-# A measured time counts as at most this many times the estimate. The few timeouts
-# of one frozen endpoint would otherwise make all waits look lost for a while, and
-# requests that the other endpoints could serve would be turned away.
-TIME_GROWTH = 4
-TIME_FLOOR_MS = 0.1
-# The weight of a new sample of a lane's pace.
-PACE_WEIGHT = 0.2
-# A deadline is plainly lost when the best case alone is this many times too long.
-SURE_FACTOR = 2
+# A measured time counts as at most this many times the estimate. Otherwise a few
+# timeouts of one frozen endpoint would make all waits look hopeless for a while, and
+# requests that the other endpoints could serve would be refused.
+SAMPLE_GROWTH_LIMIT = 4
+ESTIMATE_FLOOR_MS = 0.1
+# The weight of a new sample in the average interval between two grants.
+INTERVAL_WEIGHT = 0.2
+# Waiting is hopeless when even the best-case wait is this many times the time left.
+HOPELESS_FACTOR = 2
 
-# The endpoints that suit a waiter: a fixed list, best first, or a function that gets
-# those with a free slot and returns one or None.
-Suits = tuple[str, ...] | Callable[[list[str]], str | None]
+# Selects an endpoint: a fixed list of endpoints, best first, or a function that gets
+# the endpoints with a free slot and returns one of them or None.
+Selector = tuple[str, ...] | Callable[[list[str]], str | None]
 
 
 def name_own_queue(workspace: str) -> str:
-    """Return the name of the line in which a workspace waits: one for each."""
+    """Return the name of the queue in which a workspace waits: one for each."""
     return workspace
 
 
 class Waiter:
-    """A task that waits for a slot; `number` tells who came first."""
+    """A task that waits for a slot; the lower its `number`, the earlier it came.
 
-    def __init__(self, suits: Suits, number: int, event):
-        self.suits = suits
+    `declined` holds the endpoints that were free when it last declined all of them.
+    """
+
+    def __init__(self, selector: Selector, number: int, event):
+        self.selector = selector
         self.number = number
         self.event = event
         self.endpoint: str | None = None
         self.failure: Exception | None = None
-        self.refused: frozenset[str] = frozenset()
-        self.refused_version = -1
-        self.refused_ms = -math.inf
+        self.declined: frozenset[str] = frozenset()
+        self.declined_version = -1
+        self.declined_at_ms = -math.inf
 
 
-def pick(suits: Suits, free: list[str]) -> str | None:
-    """Return which of the free endpoints is taken, or None."""
-    if not callable(suits):
-        return next((name for name in suits if name in free), None)
-    endpoint = suits(list(free)) if free else None
+def select_endpoint(selector: Selector, free: list[str]) -> str | None:
+    """Return the free endpoint that the selector selects, or None."""
+    if not callable(selector):
+        return next((name for name in selector if name in free), None)
+    endpoint = selector(list(free)) if free else None
     return endpoint if endpoint in free else None
 
 
-def limit_growth(estimate_ms: float) -> float:
-    """Return how much a measured time may count at most beside its estimate."""
-    return TIME_GROWTH * max(estimate_ms, TIME_FLOOR_MS)
+def limit_sample(estimate_ms: float) -> float:
+    """Return the most that one measured time may count, given the estimate."""
+    return SAMPLE_GROWTH_LIMIT * max(estimate_ms, ESTIMATE_FLOOR_MS)
 
 
-# Waiters in their order; a dict lets one leave from the middle.
+# Waiters in order of arrival; a dict, as any of them may be removed.
 Waiters = dict[Waiter, None]
 
 
-class Lane:
-    """Waiters of a line that the same fixed endpoints suit, and their pace."""
+class EndpointQueue:
+    """The waiters of one workspace for one fixed list of endpoints."""
 
     def __init__(self):
         self.waiters: Waiters = {}
-        # From one grant to the next, as lately seen; 0 while that isn't known.
-        self.pace_ms = 0.0
-        self._granted_ms: float | None = None
-
-    def foresee_wait(self) -> float:
-        """Return how long a newcomer would wait."""
-        return (len(self.waiters) + 1) * self.pace_ms
-
-    def note_grant(self, now_ms: float, hold_ms: float) -> None:
-        """Learn the pace from a grant; `hold_ms` is how long a slot is held."""
-        if self._granted_ms is not None:
-            limit_ms = limit_growth(self.pace_ms) if self.pace_ms else hold_ms
-            passed_ms = min(now_ms - self._granted_ms, limit_ms)
-            weight = PACE_WEIGHT if self.pace_ms else 1
-            self.pace_ms += weight * (passed_ms - self.pace_ms)
-        self._granted_ms = now_ms
-
-
-class Line:
-    """A workspace's waiters, first come first, and its credit.
-
-    Of those that the same fixed endpoints suit only the first is looked at when a slot
-    comes free. A flood of writes is as quick to look at as a single one.
+        # The average time between two grants; 0 while it isn't known.
+        self.interval_ms = 0.0
+        self._last_grant_ms: float | None = None
+
+    def estimate_wait(self) -> float:
+        """Return how many milliseconds a new waiter would wait."""
+        return (len(self.waiters) + 1) * self.interval_ms
+
+    def record_grant(self, now_ms: float, hold_ms: float) -> None:
+        """Update the interval; `hold_ms` is how long a slot is held on average."""
+        if self._last_grant_ms is not None:
+            limit_ms = limit_sample(self.interval_ms) if self.interval_ms else hold_ms
+            sample_ms = min(now_ms - self._last_grant_ms, limit_ms)
+            weight = INTERVAL_WEIGHT if self.interval_ms else 1
+            self.interval_ms += weight * (sample_ms - self.interval_ms)
+        self._last_grant_ms = now_ms
+
+
+class WorkspaceQueue:
+    """The waiters of one workspace, first come first served, and its credit.
+
+    Waiters with the same fixed list of endpoints share a subqueue, of which only the
+    first is considered when a slot comes free: a flood of writes takes no longer to
+    handle than a single one. `dynamic_waiters` are those with a selector function.
     """
 
     def __init__(self):
         self.count = 0
         self.credit = 0
-        self.lanes: dict[tuple[str, ...], Lane] = {}
-        self.choosing: Waiters = {}
+        self.subqueues: dict[tuple[str, ...], EndpointQueue] = {}
+        self.dynamic_waiters: Waiters = {}
 
-    def join(self, waiter: Waiter) -> None:
-        """Add a waiter at the end."""
+    def enqueue(self, waiter: Waiter) -> None:
+        """Append a waiter."""
         self.count += 1
-        if callable(waiter.suits):
-            self.choosing[waiter] = None
+        if callable(waiter.selector):
+            self.dynamic_waiters[waiter] = None
             return
-        self.lanes.setdefault(waiter.suits, Lane()).waiters[waiter] = None
+        self.subqueues.setdefault(waiter.selector, EndpointQueue()).waiters[waiter] = (
+            None
+        )
 
-    def leave(self, waiter: Waiter) -> bool:
-        """Take a waiter out; return whether it was in line still."""
-        lane = None if callable(waiter.suits) else self.lanes.get(waiter.suits)
-        waiters = self.choosing if lane is None else lane.waiters
+    def remove(self, waiter: Waiter) -> bool:
+        """Remove a waiter; return whether it was still queued."""
+        subqueue = (
+            None if callable(waiter.selector) else self.subqueues.get(waiter.selector)
+        )
+        waiters = self.dynamic_waiters if subqueue is None else subqueue.waiters
         if waiter not in waiters:
             return False
         del waiters[waiter]
         self.count -= 1
-        if lane is not None and not waiters:
-            del self.lanes[waiter.suits]
+        if subqueue is not None and not waiters:
+            del self.subqueues[waiter.selector]
         return True
 
-    def note_grant(self, waiter: Waiter, now_ms: float, hold_ms: float) -> None:
-        """Note that a waiter gets a slot, just before it leaves."""
-        if not callable(waiter.suits):
-            self.lanes[waiter.suits].note_grant(now_ms, hold_ms)
+    def record_grant(self, waiter: Waiter, now_ms: float, hold_ms: float) -> None:
+        """Record that a waiter gets a slot; called just before its removal."""
+        if not callable(waiter.selector):
+            self.subqueues[waiter.selector].record_grant(now_ms, hold_ms)
 
-    def find_fixed(self, free: list[str]) -> Waiter | None:
-        """Return the first waiter with a fixed list that has a free endpoint."""
+    def find_first_fixed(self, free: list[str]) -> Waiter | None:
+        """Return the first waiter whose fixed list contains a free endpoint."""
         firsts = [
-            next(iter(lane.waiters))
-            for suits, lane in self.lanes.items()
-            if pick(suits, free) is not None
+            next(iter(subqueue.waiters))
+            for selector, subqueue in self.subqueues.items()
+            if select_endpoint(selector, free) is not None
         ]
         return min(firsts, key=lambda waiter: waiter.number, default=None)
 
 
 class SlotQueue:
-    """Hands out the slots of a group's endpoints by deficit round robin."""
+    """Grants the slots of a group's endpoints by deficit round robin.
+
+    `name_queue` maps a workspace to the name of the queue in which it waits.
+    """
 
     def __init__(
         self,
         runtime: Runtime,
         workspace_limit: int,
-        name_line: Callable[[str], str] = name_own_queue,
+        name_queue: Callable[[str], str] = name_own_queue,
     ):
         self._runtime = runtime
-        self._name_line = name_line
+        self._name_queue = name_queue
         self._clock = runtime.clock
         self._workspace_limit = workspace_limit
         self._lock = runtime.make_lock()
         self._slots: dict[str, int] = {}
-        self._granted_ms: dict[str, deque[float]] = {}
-        self._lines: dict[str, Line] = {}
+        self._grant_times_ms: dict[str, deque[float]] = {}
+        self._queues: dict[str, WorkspaceQueue] = {}
         self._ring: deque[str] = deque()
-        # The workspace whose turn has begun, so that it gets its quantum once.
+        # The workspace whose turn it is; it has got its quantum for this turn.
         self._turn: str | None = None
-        self._hold_ms: float = FIRST_HOLD_MS
+        self._hold_ms: float = INITIAL_HOLD_MS
         self._version = 0
         self._numbers = itertools.count()
-        # Tasks in `acquire_endpoint` whose choice may change with the endpoints' state.
-        self._choosing = 0
+        # Tasks in `acquire_endpoint` with a selector function, whose result may change
+        # with the endpoints' state.
+        self._dynamic_count = 0
 
     def set_endpoints(self, slots: dict[str, int]) -> None:
-        """Replace the endpoints; slots held on one that is left out stay held."""
+        """Replace the endpoints; slots held on a removed endpoint stay held."""
         with self._lock:
             self._slots = dict(slots)
             self._version += 1
-            self._hand_out()
+            self._grant_slots()
 
     def acquire(
-        self, workspace: str, suits: Suits, deadline_ms: float, foresee: bool = True
+        self,
+        workspace: str,
+        selector: Selector,
+        deadline_ms: float,
+        refuse_early: bool = True,
     ) -> Result[str, Refusal]:
-        """Return what `acquire_endpoint` returns, as a result."""
+        """Do what `acquire_endpoint` does, but return a `Result`."""
         from expression import Error, Ok
 
-        taken = self.acquire_endpoint(workspace, suits, deadline_ms, foresee)
-        return Error(taken) if isinstance(taken, Refusal) else Ok(taken)
+        outcome = self.acquire_endpoint(workspace, selector, deadline_ms, refuse_early)
+        return Error(outcome) if isinstance(outcome, Refusal) else Ok(outcome)
 
     def acquire_endpoint(
-        self, workspace: str, suits: Suits, deadline_ms: float, foresee: bool = True
+        self,
+        workspace: str,
+        selector: Selector,
+        deadline_ms: float,
+        refuse_early: bool = True,
     ) -> str | Refusal:
-        """Return the endpoint on which a slot was taken; the caller releases it.
+        """Acquire a slot and return its endpoint; the caller has to release the slot.
 
-        A function that chooses is called under the queue's lock. `deadline_ms` is a
-        point on the clock. With `foresee` a task is refused at once if its turn would
-        come too late by the pace of those before it; without, it waits all the same.
+        A selector function is called under the queue's lock. `deadline_ms` is a point
+        on the clock. With `refuse_early` a task is refused at once if, at the present
+        rate of grants, its turn would come after the deadline; without it, it waits.
         """
-        workspace = self._name_line(workspace)
-        if foresee:
-            refused = self._foresee(workspace, suits, deadline_ms)
-            if refused is not None:
-                return refused
+        workspace = self._name_queue(workspace)
+        if refuse_early:
+            refusal = self._refuse_early(workspace, selector, deadline_ms)
+            if refusal is not None:
+                return refusal
         with self._lock:
-            # Before the choice: who wakes the queue from then on asks again.
-            if callable(suits):
-                self._choosing += 1
-            entered = self._enter(workspace, suits, deadline_ms)
-            if not isinstance(entered, Waiter):
-                self._forget_choice(suits)
-                return entered
-        return self._wait(workspace, entered, deadline_ms)
-
-    def _foresee(
-        self, workspace: str, suits: Suits, deadline_ms: float
+            # Counted before the first selection, so that a `wake` from now on has the
+            # selector called again.
+            if callable(selector):
+                self._dynamic_count += 1
+            outcome = self._grant_or_enqueue(workspace, selector, deadline_ms)
+            if not isinstance(outcome, Waiter):
+                self._uncount_dynamic(selector)
+                return outcome
+        return self._wait(workspace, outcome, deadline_ms)
+
+    def _refuse_early(
+        self, workspace: str, selector: Selector, deadline_ms: float
     ) -> Refusal | None:
-        """Return a refusal when those in the same lane leave no time.
+        """Return a refusal if the waiters for the same endpoints leave no time.
 
-        It goes without the lock, so that a flood is refused without holding anybody
-        up. While somebody is in the lane no endpoint that suits is free.
+        It takes no lock, so that refusing a flood delays nobody else. While the
+        subqueue has waiters, none of its endpoints is free.
         """
-        line = self._lines.get(workspace)
-        lane = None if line is None or callable(suits) else line.lanes.get(suits)
-        if lane is None:
+        queue = self._queues.get(workspace)
+        subqueue = (
+            None
+            if queue is None or callable(selector)
+            else queue.subqueues.get(selector)
+        )
+        if subqueue is None:
             return None
-        wait_ms = lane.foresee_wait()
-        if line.count >= self._workspace_limit:
-            return _refuse_full(line.count, wait_ms)
+        wait_ms = subqueue.estimate_wait()
+        if queue.count >= self._workspace_limit:
+            return _refuse_full(queue.count, wait_ms)
         if wait_ms > deadline_ms - self._clock.now_ms():
-            return _refuse_late("no slot can come free in time", wait_ms)
+            return _refuse_deadline("no slot can come free in time", wait_ms)
         return None
 
     def _wait(
         self, workspace: str, waiter: Waiter, deadline_ms: float
     ) -> str | Refusal:
         left_ms = deadline_ms - self._clock.now_ms()
-        # Who was granted a slot has left the line already.
+        # A waiter that was granted a slot has been removed from the queue already.
         if not waiter.event.wait(max(0, left_ms) / 1000):
             with self._lock:
-                self._leave(workspace, waiter)
+                self._remove(workspace, waiter)
         if waiter.failure is not None:
             raise waiter.failure
         if waiter.endpoint is not None:
             return waiter.endpoint
-        return _refuse_late("no slot came free in time", self._estimate_wait(workspace))
+        return _refuse_deadline(
+            "no slot came free in time", self._estimate_wait(workspace)
+        )
 
     @property
     def hold_ms(self) -> float:
-        """Return how long a slot is held, as lately measured."""
+        """Return how long a slot is held, as a moving average."""
         return self._hold_ms
 
     def release(self, endpoint: str) -> None:
-        """Give a slot back and hand it to the next waiter that it suits."""
+        """Release a slot and grant it to the next waiter that can use it."""
         with self._lock:
-            held_ms = self._clock.now_ms() - self._granted_ms[endpoint].popleft()
-            held_ms = min(held_ms, limit_growth(self._hold_ms))
+            held_ms = self._clock.now_ms() - self._grant_times_ms[endpoint].popleft()
+            held_ms = min(held_ms, limit_sample(self._hold_ms))
             self._hold_ms += HOLD_WEIGHT * (held_ms - self._hold_ms)
-            self._hand_out()
+            self._grant_slots()
 
     def wake(self) -> None:
-        """Ask the waiters again: their choices may have changed."""
-        # Each answer of an instance comes here, and each pass of the lock counts.
-        if not self._choosing:
+        """Call the selectors again, as their results may have changed."""
+        # Called for each answer of an instance, so the lock is avoided if possible.
+        if not self._dynamic_count:
             return
         with self._lock:
             self._version += 1
-            self._hand_out()
+            self._grant_slots()
 
     def count_waiting(self) -> dict[str, int]:
-        """Return how many wait, by workspace; those with none are left out."""
+        """Return how many tasks wait, by workspace; those with none are left out."""
         with self._lock:
-            return {name: line.count for name, line in self._lines.items()}
+            return {name: queue.count for name, queue in self._queues.items()}
 
     def count_used(self) -> dict[str, int]:
-        """Return how many slots are taken, by endpoint."""
+        """Return how many slots are in use, by endpoint."""
         with self._lock:
-            return {name: len(taken) for name, taken in self._granted_ms.items()}
+            return {name: len(times) for name, times in self._grant_times_ms.items()}
 
-    # All below: the lock is held.
+    # The methods below require that the lock is held.
 
     def _list_free(self) -> list[str]:
         return [
             name
             for name, slots in self._slots.items()
-            if len(self._granted_ms.get(name, ())) < slots
+            if len(self._grant_times_ms.get(name, ())) < slots
         ]
 
     def _occupy(self, endpoint: str) -> None:
-        granted = self._granted_ms.setdefault(endpoint, deque())
-        granted.append(self._clock.now_ms())
+        times = self._grant_times_ms.setdefault(endpoint, deque())
+        times.append(self._clock.now_ms())
 
-    def _enter(
-        self, workspace: str, suits: Suits, deadline_ms: float
+    def _grant_or_enqueue(
+        self, workspace: str, selector: Selector, deadline_ms: float
     ) -> str | Refusal | Waiter:
-        """Return the endpoint taken, why waiting is of no use, or who waits."""
-        # Whoever waits has refused every endpoint that is free now, so taking one
-        # passes nobody over.
-        endpoint = pick(suits, self._list_free())
+        """Return the endpoint granted, a refusal, or the queued waiter."""
+        # All queued waiters have declined every endpoint that is free now, so granting
+        # one here overtakes nobody.
+        endpoint = select_endpoint(selector, self._list_free())
         if endpoint is not None:
             self._occupy(endpoint)
             return endpoint
-        refused = self._turn_away(workspace, deadline_ms)
-        if refused is not None:
-            return refused
-        waiter = Waiter(suits, next(self._numbers), self._runtime.make_event())
-        self._join(workspace, waiter)
+        refusal = self._refuse_wait(workspace, deadline_ms)
+        if refusal is not None:
+            return refusal
+        waiter = Waiter(selector, next(self._numbers), self._runtime.make_event())
+        self._enqueue(workspace, waiter)
         return waiter
 
-    def _turn_away(self, workspace: str, deadline_ms: float) -> Refusal | None:
-        """Return a refusal when waiting is not allowed or plainly of no use."""
+    def _refuse_wait(self, workspace: str, deadline_ms: float) -> Refusal | None:
+        """Return a refusal if the queue is full or waiting is hopeless."""
         wait_ms = self._estimate_wait(workspace)
-        line = self._lines.get(workspace)
-        if line is not None and line.count >= self._workspace_limit:
-            return _refuse_full(line.count, wait_ms)
+        queue = self._queues.get(workspace)
+        if queue is not None and queue.count >= self._workspace_limit:
+            return _refuse_full(queue.count, wait_ms)
         left_ms = deadline_ms - self._clock.now_ms()
-        if left_ms <= 0 or wait_ms > SURE_FACTOR * left_ms:
-            return _refuse_late("no slot can come free in time", wait_ms)
+        if left_ms <= 0 or wait_ms > HOPELESS_FACTOR * left_ms:
+            return _refuse_deadline("no slot can come free in time", wait_ms)
         return None
 
     def _estimate_wait(self, workspace: str) -> float:
-        """Return the milliseconds until a newcomer's turn, in the best case.
+        """Return the milliseconds until a new waiter's turn, in the best case.
 
-        Each workspace gets one slot a round, so of the others only as many come
-        before as the newcomer has of its own workspace before it, and one.
+        Each workspace gets one slot per round. With n waiters of its own workspace
+        ahead of it, a new waiter waits for at most n + 1 waiters of each other one.
         """
-        line = self._lines.get(workspace)
-        ahead = line.count if line is not None else 0
+        queue = self._queues.get(workspace)
+        ahead = queue.count if queue is not None else 0
         turns = ahead + 1
-        for name, other in list(self._lines.items()):
+        for name, other in list(self._queues.items()):
             if name != workspace:
                 turns += min(other.count, ahead + 1)
         return turns * self._hold_ms / max(1, sum(self._slots.values()))
 
-    def _join(self, workspace: str, waiter: Waiter) -> None:
-        line = self._lines.get(workspace)
-        if line is None:
-            line = self._lines[workspace] = Line()
+    def _enqueue(self, workspace: str, waiter: Waiter) -> None:
+        queue = self._queues.get(workspace)
+        if queue is None:
+            queue = self._queues[workspace] = WorkspaceQueue()
             self._ring.append(workspace)
-        line.join(waiter)
-        self._note_refusal(waiter, frozenset(self._list_free()))
+        queue.enqueue(waiter)
+        self._record_declined(waiter, frozenset(self._list_free()))
 
-    def _forget_choice(self, suits: Suits) -> None:
-        if callable(suits):
-            self._choosing -= 1
+    def _uncount_dynamic(self, selector: Selector) -> None:
+        if callable(selector):
+            self._dynamic_count -= 1
 
-    def _leave(self, workspace: str, waiter: Waiter) -> None:
-        line = self._lines.get(workspace)
-        if line is None:
+    def _remove(self, workspace: str, waiter: Waiter) -> None:
+        queue = self._queues.get(workspace)
+        if queue is None:
             return
-        if line.leave(waiter):
-            self._forget_choice(waiter.suits)
-        if not line.count:
-            # Credit ends with the line: saved up while idle, it would let the
-            # workspace pass the others later.
-            del self._lines[workspace]
+        if queue.remove(waiter):
+            self._uncount_dynamic(waiter.selector)
+        if not queue.count:
+            # Credit is dropped with the queue. Kept while idle, it would let the
+            # workspace overtake the others later.
+            del self._queues[workspace]
             self._ring.remove(workspace)
             if self._turn == workspace:
                 self._turn = None
 
-    def _hand_out(self) -> None:
+    def _grant_slots(self) -> None:
         free = self._list_free()
-        while free and self._ring and self._grant_one(free):
+        while free and self._ring and self._grant_next(free):
             free = self._list_free()
 
-    def _grant_one(self, free: list[str]) -> bool:
-        """Grant a slot to the next workspace in turn that one suits."""
+    def _grant_next(self, free: list[str]) -> bool:
+        """Grant a slot to the next workspace in turn that can use one."""
         free_set = frozenset(free)
-        for passed, workspace in enumerate(self._ring):
-            line = self._lines[workspace]
-            waiter = self._find_suited(line, free, free_set)
+        for skipped, workspace in enumerate(self._ring):
+            queue = self._queues[workspace]
+            waiter = self._find_grantable(queue, free, free_set)
             if waiter is not None:
-                self._pass_turns(passed)
-                self._begin_turn(workspace, line)
-                self._grant(workspace, line, waiter)
+                self._skip_turns(skipped)
+                self._begin_turn(workspace, queue)
+                self._grant(workspace, queue, waiter)
                 return True
         return False
 
-    def _pass_turns(self, count: int) -> None:
-        """Let the first `count` workspaces, which nothing free suits, make it up later.
+    def _skip_turns(self, count: int) -> None:
+        """Skip the first `count` workspaces, which can use no free endpoint.
 
-        Their turns pass only when somebody else gets a slot. Counted at each look at
-        endpoints that suit nobody, as idle replicas do while all wait for the primary,
-        turns would be saved up without end: whoever stands first would keep the primary
-        for itself, and the others would get nothing at all.
+        They keep the credit for the skipped turn. It is given only when somebody else
+        gets a slot. Given at each check of endpoints that nobody can use, such as idle
+        replicas while everybody waits for the primary, credit would always be at its
+        limit: the first workspace would keep the primary, and the others would starve.
         """
         for workspace in list(self._ring)[:count]:
-            line = self._lines[workspace]
-            line.credit = min(line.credit + QUANTUM, CREDIT_LIMIT)
+            queue = self._queues[workspace]
+            queue.credit = min(queue.credit + QUANTUM, CREDIT_LIMIT)
         self._ring.rotate(-count)
 
-    def _begin_turn(self, workspace: str, line: Line) -> None:
+    def _begin_turn(self, workspace: str, queue: WorkspaceQueue) -> None:
         if self._turn != workspace:
             self._turn = workspace
-            line.credit = min(line.credit + QUANTUM, CREDIT_LIMIT)
+            queue.credit = min(queue.credit + QUANTUM, CREDIT_LIMIT)
 
     def _end_turn(self) -> None:
         self._ring.rotate(-1)
         self._turn = None
 
-    def _grant(self, workspace: str, line: Line, waiter: Waiter) -> None:
+    def _grant(self, workspace: str, queue: WorkspaceQueue, waiter: Waiter) -> None:
         if waiter.endpoint is not None:
             self._occupy(waiter.endpoint)
-            line.note_grant(waiter, self._clock.now_ms(), self._hold_ms)
-            line.credit -= SLOT_COST
-        if line.credit < SLOT_COST:
+            queue.record_grant(waiter, self._clock.now_ms(), self._hold_ms)
+            queue.credit -= SLOT_COST
+        if queue.credit < SLOT_COST:
             self._end_turn()
-        self._leave(workspace, waiter)
+        self._remove(workspace, waiter)
         waiter.event.set()
 
-    def _find_suited(
-        self, line: Line, free: list[str], free_set: frozenset[str]
+    def _find_grantable(
+        self, queue: WorkspaceQueue, free: list[str], free_set: frozenset[str]
     ) -> Waiter | None:
-        """Return the first waiter that takes one of the free endpoints."""
+        """Return the first waiter that can use a free endpoint."""
         now_ms = self._clock.now_ms()
-        fixed = line.find_fixed(free)
-        for waiter in line.choosing:
+        fixed = queue.find_first_fixed(free)
+        for waiter in queue.dynamic_waiters:
             if fixed is not None and fixed.number < waiter.number:
                 break
-            if self._has_refused(waiter, free_set, now_ms):
+            if self._has_declined(waiter, free_set, now_ms):
                 continue
             try:
-                waiter.endpoint = pick(waiter.suits, free)
+                waiter.endpoint = select_endpoint(waiter.selector, free)
             except Exception as error:
-                # Raised here it would hit the task that releases, and every one
-                # after it, while the waiter that caused it never learned of it.
+                # Raised in the waiter's own task. Raised here, it would fail the task
+                # that releases a slot and every later one, but not the faulty waiter.
                 waiter.failure = error
                 return waiter
             if waiter.endpoint is not None:
                 return waiter
-            self._note_refusal(waiter, free_set)
+            self._record_declined(waiter, free_set)
         if fixed is not None:
-            fixed.endpoint = pick(fixed.suits, free)
+            fixed.endpoint = select_endpoint(fixed.selector, free)
         return fixed
 
-    def _has_refused(
+    def _has_declined(
         self, waiter: Waiter, free_set: frozenset[str], now_ms: float
     ) -> bool:
         return (
-            waiter.refused_version == self._version
-            and now_ms - waiter.refused_ms < CHOICE_AGE_MS
-            and free_set <= waiter.refused
+            waiter.declined_version == self._version
+            and now_ms - waiter.declined_at_ms < DECLINE_VALID_MS
+            and free_set <= waiter.declined
         )
 
-    def _note_refusal(self, waiter: Waiter, free_set: frozenset[str]) -> None:
-        waiter.refused = free_set
-        waiter.refused_version = self._version
-        waiter.refused_ms = self._clock.now_ms()
+    def _record_declined(self, waiter: Waiter, free_set: frozenset[str]) -> None:
+        waiter.declined = free_set
+        waiter.declined_version = self._version
+        waiter.declined_at_ms = self._clock.now_ms()
 
 
 def _refuse_full(waiting: int, wait_ms: float) -> Refusal:
@@ -456,5 +486,5 @@
     return Refusal(Code.QUEUE_FULL, message, NOT_RUN, math.ceil(wait_ms))
 
 
-def _refuse_late(message: str, wait_ms: float) -> Refusal:
+def _refuse_deadline(message: str, wait_ms: float) -> Refusal:
     return Refusal(Code.DEADLINE_PASSED, message, NOT_RUN, math.ceil(wait_ms))
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -387,13 +387,13 @@
     Mutation(
         "idle endpoints save up no turns",
         "bronzerelay/slots.py",
-        "        return False\n\n    def _pass_turns",
-        "        self._pass_turns(len(self._ring))\n"
+        "        return False\n\n    def _skip_turns",
+        "        self._skip_turns(len(self._ring))\n"
         "        self._turn = None\n"
         "        return False\n"
         "\n"
-        "    def _pass_turns",
-        "tests/test_slots.py::test_idle_endpoints_that_suit_nobody_save_up_no_turns",
+        "    def _skip_turns",
+        "tests/test_slots.py::test_idle_endpoints_that_nobody_can_use_add_no_credit",
     ),
     Mutation(
         "a version never goes back",
@@ -487,9 +487,9 @@
     Mutation(
         "waking the queue takes no lock while no choice can change",
         "bronzerelay/slots.py",
-        "        if not self._choosing:\n            return\n",
+        "        if not self._dynamic_count:\n            return\n",
         "",
-        "tests/test_slots.py::test_writes_pass_the_lock_twice_however_often_replicas_report",
+        "tests/test_slots.py::test_writes_take_the_lock_twice_however_often_replicas_report",
     ),
     Mutation(
         "what would get its slot too late is refused at once",
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of the queue for slots."""
+"""Tests of the slot queue."""
 
 import pytest
 from hypothesis import given, settings
@@ -22,7 +22,7 @@
 
 
 class Trial:
-    """A queue, and the tasks that wait in it; `served` lists them as they got in."""
+    """A queue and the tasks that wait in it; `served` lists them in order of grant."""
 
     def __init__(self, runtime, slots, workspace_limit=100):
         self.runtime = runtime
@@ -34,14 +34,14 @@
     def deadline(self, timeout_ms=LONG_MS):
         return self.runtime.clock.now_ms() + timeout_ms
 
-    def acquire(self, workspace="a", choose=take_any, timeout_ms=LONG_MS):
-        return self.queue.acquire(workspace, choose, self.deadline(timeout_ms))
+    def acquire(self, workspace="a", selector=take_any, timeout_ms=LONG_MS):
+        return self.queue.acquire(workspace, selector, self.deadline(timeout_ms))
 
-    def join(self, workspace, choose=take_any, label=None):
-        """Start a task that waits; return once it does."""
+    def start_waiter(self, workspace, selector=take_any, label=None):
+        """Start a task that waits for a slot; return once it waits."""
 
         def wait():
-            result = self.acquire(workspace, choose)
+            result = self.acquire(workspace, selector)
             self.served.append(label or workspace)
             return result
 
@@ -54,7 +54,7 @@
         return sum(self.queue.count_waiting().values())
 
     def serve(self, endpoint="x"):
-        """Release a slot and return who got it."""
+        """Release a slot and return the label of the task that gets it."""
         before = len(self.served)
         self.queue.release(endpoint)
         self.waiting -= 1
@@ -63,15 +63,15 @@
 
 
 class CountingLock:
-    """A lock that counts how often it is taken."""
+    """A lock that counts how often it is acquired."""
 
     def __init__(self, lock):
         self._lock = lock
-        self.passes = 0
+        self.acquisitions = 0
 
     def __enter__(self):
         self._lock.acquire()
-        self.passes += 1
+        self.acquisitions += 1
 
     def __exit__(self, *_):
         self._lock.release()
@@ -84,103 +84,103 @@
 
 
 def test_a_workspace_with_many_waiting_gets_no_more_than_the_others(runtime):
-    """One caterer sends five times what the others do before dawn. Served first
-    come first, the others' prep lists would wait behind all of it.
+    """One workspace queues several times as many requests as the others. Served first
+    come first served, the others' requests would wait behind all of them.
     """
     trial = Trial(runtime, {"x": 1})
     trial.acquire()
     labels = ["a1", "a2", "a3", "a4", "a5", "b1", "b2", "c1", "c2"]
     for label in labels:
-        trial.join(label[0], label=label)
+        trial.start_waiter(label[0], label=label)
     served = [trial.serve() for _ in labels]
     assert served == ["a1", "b1", "c1", "a2", "b2", "c2", "a3", "a4", "a5"]
 
 
-def test_a_waiter_that_no_free_endpoint_suits_holds_up_nobody(runtime):
-    """A write waits for the primary, which is frozen, while replicas are free.
-    Reads behind it, of any workspace, must still be served.
+def test_a_waiter_that_can_use_no_free_endpoint_blocks_nobody(runtime):
+    """A write waits for the primary, which has no free slot, while a replica has one.
+    Reads queued behind the write, of any workspace, must still be served.
     """
     trial = Trial(runtime, {"primary": 1, "replica": 1})
-    trial.acquire(choose=prefer("primary"))
-    write = trial.join("a", prefer("primary"), "write")
+    trial.acquire(selector=prefer("primary"))
+    write = trial.start_waiter("a", prefer("primary"), "write")
     assert trial.acquire("a", prefer("replica")).ok == "replica"
-    trial.join("a", prefer("replica"), "own read")
-    trial.join("b", prefer("replica"), "other read")
+    trial.start_waiter("a", prefer("replica"), "own read")
+    trial.start_waiter("b", prefer("replica"), "other read")
     served = {trial.serve("replica"), trial.serve("replica")}
     assert served == {"own read", "other read"}
     assert trial.serve("primary") == "write"
     assert write.result().ok == "primary"
 
 
-def test_idle_endpoints_that_suit_nobody_save_up_no_turns(runtime):
-    """All workspaces write, so that they wait for the primary while its replicas are
-    idle. One of them floods. Each look at the idle replicas once counted as a missed
-    turn, so that the flood kept the primary and the others got nothing.
+def test_idle_endpoints_that_nobody_can_use_add_no_credit(runtime):
+    """All workspaces write and wait for the primary, while its replicas are idle. One
+    workspace floods. Each check of the idle replicas once counted as a skipped turn,
+    so that the flood kept the primary and the others starved.
     """
     trial = Trial(runtime, {"primary": 1, "replica-1": 2, "replica-2": 2})
-    trial.acquire(choose=prefer("primary"))
+    trial.acquire(selector=prefer("primary"))
     for _ in range(20):
-        trial.join("flood", prefer("primary"))
+        trial.start_waiter("flood", prefer("primary"))
     for _ in range(4):
-        trial.join("a", prefer("primary"))
-        trial.join("b", prefer("primary"))
+        trial.start_waiter("a", prefer("primary"))
+        trial.start_waiter("b", prefer("primary"))
     got = [trial.serve("primary") for _ in range(12)]
     assert got == ["flood", "a", "b"] * 4
     trial.queue.set_endpoints({"primary": 100})
 
 
-def test_missed_turns_are_made_up_within_bounds(runtime):
-    """A workspace's turns pass while nothing free suits it. It catches up by a
-    few, and can't lock the others out by having waited long.
+def test_skipped_turns_are_made_up_within_the_credit_limit(runtime):
+    """A workspace's turns are skipped while it can use no free endpoint. It makes up
+    for a few of them only, so that it can't starve the others after a long wait.
     """
     trial = Trial(runtime, {"x": 1, "y": 1})
-    trial.acquire(choose=prefer("x"))
-    trial.acquire(choose=prefer("y"))
+    trial.acquire(selector=prefer("x"))
+    trial.acquire(selector=prefer("y"))
     for _ in range(8):
-        trial.join("late", prefer("y"))
+        trial.start_waiter("late", prefer("y"))
     for _ in range(20):
-        trial.join("b", prefer("x"))
+        trial.start_waiter("b", prefer("x"))
     for _ in range(10):
         trial.serve("x")
     for _ in range(5):
-        trial.join("b", prefer("y"), "b on y")
+        trial.start_waiter("b", prefer("y"), "b on y")
     got = [trial.serve("y") for _ in range(CREDIT_LIMIT + 2)]
     assert got == ["late"] * CREDIT_LIMIT + ["b on y", "late"]
     trial.queue.set_endpoints({"x": 100, "y": 100})
 
 
-def test_a_wake_asks_the_waiters_again(runtime):
-    """A read waits until a replica has caught up with its session. When it has,
-    the read must not wait for somebody to release a slot.
+def test_wake_calls_the_selectors_again(runtime):
+    """A read waits until a replica has caught up with its session. The read must then
+    get its slot without waiting for a release.
     """
     trial = Trial(runtime, {"x": 1})
-    level = []
-    future = trial.join("a", lambda free: free[0] if level else None)
-    level.append(1)
+    caught_up = []
+    future = trial.start_waiter("a", lambda free: free[0] if caught_up else None)
+    caught_up.append(1)
     trial.queue.wake()
     assert future.result().ok == "x"
 
 
-def test_a_full_line_is_refused_at_once_with_a_time_to_come_back(runtime):
-    """A workspace has as much waiting as it may. One request more is refused
-    straight away, and other workspaces still get in line.
+def test_a_full_queue_refuses_at_once_with_a_retry_time(runtime):
+    """A workspace has as many requests queued as allowed. One more is refused at once,
+    and requests of other workspaces are still queued.
     """
     trial = Trial(runtime, {"x": 1}, workspace_limit=2)
     trial.acquire()
-    trial.join("a")
-    trial.join("a")
+    trial.start_waiter("a")
+    trial.start_waiter("a")
     refusal = trial.acquire("a").error
     assert (refusal.code, refusal.ran) == (Code.QUEUE_FULL, NOT_RUN)
     assert refusal.retry_after_ms > 0
-    trial.join("b")
+    trial.start_waiter("b")
     assert trial.queue.count_waiting() == {"a": 2, "b": 1}
     for _ in range(3):
         trial.serve()
 
 
-def test_a_deadline_ends_the_wait_and_frees_the_place(runtime):
-    """No slot comes free in time. The caller gets a final answer at the deadline,
-    and a slot that comes free later goes to somebody who still waits.
+def test_a_deadline_ends_the_wait_and_removes_the_waiter(runtime):
+    """No slot comes free in time. The caller gets a refusal at the deadline, and a slot
+    released later goes to a task that still waits.
     """
     trial = Trial(runtime, {"x": 1})
     trial.acquire()
@@ -188,13 +188,13 @@
     assert (refusal.code, refusal.ran) == (Code.DEADLINE_PASSED, NOT_RUN)
     assert refusal.retry_after_ms > 0
     assert trial.queue.count_waiting() == {}
-    trial.join("b")
+    trial.start_waiter("b")
     assert trial.serve() == "b"
 
 
-def test_a_deadline_that_is_plainly_lost_is_refused_without_waiting(runtime):
-    """Slots are held long and many wait. Who can't be served in time is told so
-    at once, instead of after a wait for nothing.
+def test_a_hopeless_deadline_is_refused_without_waiting(runtime):
+    """Slots are held for long and many tasks wait. A request that can't be served in
+    time must be refused at once, not at its deadline.
     """
     trial = Trial(runtime, {"x": 1})
     for _ in range(3):
@@ -203,32 +203,32 @@
         trial.queue.release("x")
     trial.acquire()
     for _ in range(20):
-        trial.join("a")
-    asked = []
+        trial.start_waiter("a")
+    selections = []
 
-    def choose(free):
-        asked.append(free)
+    def select(free):
+        selections.append(free)
 
-    refusal = trial.acquire("a", choose, timeout_ms=5).error
+    refusal = trial.acquire("a", select, timeout_ms=5).error
     assert refusal.message == "no slot can come free in time"
     assert refusal.retry_after_ms > 5
-    assert not asked
+    assert not selections
     for _ in range(20):
         trial.serve()
 
 
 def test_a_flood_that_gets_its_turn_too_late_is_refused_at_once(runtime):
-    """Guards against callers that wait until their deadline for a certain refusal."""
+    """Guards against callers that wait until their deadline and are refused anyway."""
     trial = Trial(runtime, {"x": 1})
     refusals = []
 
     def send():
-        taken = trial.acquire("flood", ("x",), timeout_ms=10 * HOLD_MS)
-        if taken.is_ok():
+        result = trial.acquire("flood", ("x",), timeout_ms=10 * HOLD_MS)
+        if result.is_ok():
             runtime.sleep_ms(HOLD_MS)
             trial.queue.release("x")
         else:
-            refusals.append(taken.error)
+            refusals.append(result.error)
 
     senders = []
     for _ in range(80):
@@ -236,19 +236,23 @@
         runtime.sleep_ms(HOLD_MS / 4)
     for sender in senders:
         sender.result()
-    late = [one for one in refusals if one.message == "no slot came free in time"]
+    late = [
+        refusal
+        for refusal in refusals
+        if refusal.message == "no slot came free in time"
+    ]
     assert len(refusals) > 20
     assert len(late) < 0.5 * len(refusals)
-    assert min(one.retry_after_ms for one in refusals) > 0
+    assert min(refusal.retry_after_ms for refusal in refusals) > 0
 
 
-def test_a_lane_with_a_pace_still_lets_in_what_can_be_served(runtime):
-    """Guards against a pace that turns callers away beside idle slots."""
+def test_a_known_grant_interval_admits_what_can_be_served(runtime):
+    """Guards against a known grant interval that refuses callers beside idle slots."""
     trial = Trial(runtime, {"x": 1})
     futures = []
     for _ in range(3):
         trial.acquire("a", ("x",))
-        futures += [trial.join("a", ("x",)) for _ in range(4)]
+        futures += [trial.start_waiter("a", ("x",)) for _ in range(4)]
         for _ in range(4):
             runtime.sleep_ms(HOLD_MS)
             trial.serve("x")
@@ -258,33 +262,33 @@
     assert all(future.result().is_ok() for future in futures)
 
 
-def test_a_choice_that_raises_hits_its_own_request_only(runtime):
-    """A fault in the choice for one request shows up while another releases its
-    slot. The other must not fail, nor anybody else in line.
+def test_a_selector_that_raises_fails_its_own_request_only(runtime):
+    """The selector of a queued request raises while another request releases its slot.
+    Neither that request nor any other in the queue may fail.
     """
     trial = Trial(runtime, {"x": 1})
     trial.acquire()
 
-    def choose(free):
+    def select(free):
         raise ZeroDivisionError
 
-    broken = runtime.start(trial.acquire, "a", choose)
+    broken = runtime.start(trial.acquire, "a", select)
     wait_until(runtime, lambda: trial.count() == 1)
     trial.waiting = 1
-    trial.join("b")
+    trial.start_waiter("b")
     trial.queue.release("x")
     with pytest.raises(ZeroDivisionError):
         broken.result()
     wait_until(runtime, lambda: trial.served == ["b"])
 
 
-def test_an_endpoint_that_left_gets_nobody_though_its_slots_come_back(runtime):
-    """An operator drains an endpoint while requests run on it. What they release
-    must not be handed out again.
+def test_released_slots_of_a_removed_endpoint_are_not_granted(runtime):
+    """An endpoint is removed while requests run on it. The slots that they release must
+    not be granted again.
     """
     trial = Trial(runtime, {"x": 1})
     trial.acquire()
-    future = trial.join("a")
+    future = trial.start_waiter("a")
     trial.queue.set_endpoints({"y": 1})
     assert future.result().ok == "y"
     trial.queue.release("x")
@@ -292,21 +296,21 @@
     assert trial.queue.count_used() == {"x": 0, "y": 1}
 
 
-def test_writes_pass_the_lock_twice_however_often_replicas_report(runtime):
-    """Guards against a flood that holds up the daemon at the lock of its queue."""
+def test_writes_take_the_lock_twice_however_often_replicas_report(runtime):
+    """Guards against a flood that delays the daemon at the lock of its slot queue."""
     waiting = 32
     trial = Trial(runtime, {"primary": 1, "replica": 2})
     lock = trial.queue._lock = CountingLock(trial.queue._lock)
-    trial.acquire(choose=("primary",))
-    futures = [trial.join("flood", ("primary",)) for _ in range(waiting)]
-    # Counting the waiters took the lock, too.
-    lock.passes = 1 + waiting
+    trial.acquire(selector=("primary",))
+    futures = [trial.start_waiter("flood", ("primary",)) for _ in range(waiting)]
+    # `count_waiting` has acquired the lock, too.
+    lock.acquisitions = 1 + waiting
     for _ in range(waiting):
         trial.queue.wake()
         trial.serve("primary")
     trial.queue.release("primary")
     assert all(future.result().ok == "primary" for future in futures)
-    assert lock.passes == 2 * (1 + waiting)
+    assert lock.acquisitions == 2 * (1 + waiting)
 
 
 @settings(derandomize=True, max_examples=10, deadline=None)
