--- a/bronzerelay/failover.py
+++ b/bronzerelay/failover.py
@@ -219,14 +219,14 @@
         """
         spec = self._watch.spec
         others = [one for one in self._list_reachable(spec) if one.name != primary]
-        if len(others) >= self._watch.majority():
+        if len(others) >= self._watch.majority_size():
             self._stall.restart()
             term = self._watch.highest_term() + 1
             self._promote(term, others, f"{primary} is cut from its replicas")
 
     def _replace_primary(self) -> None:
         # The primary may be the one whose first answer is still on its way.
-        if not self._watch.has_majority() or not self._watch.has_judged_all():
+        if not self._watch.has_majority() or not self._watch.has_polled_all():
             return
         known_term = self._watch.highest_term()
         if self._rival_is_at_work():
--- a/bronzerelay/groups.py
+++ b/bronzerelay/groups.py
@@ -14,7 +14,7 @@
 from bronzerelay.runtime import Runtime
 from bronzerelay.slots import SlotQueue
 from bronzerelay.types import Configuration, EndpointSpec, GroupSpec
-from bronzerelay.watch import GroupWatch, Silence
+from bronzerelay.watch import ContactLoss, GroupWatch
 
 # A daemon that got a group's statement as a stand-in keeps the group this long.
 KEEP_MS = 10_000
@@ -182,8 +182,8 @@
         self._apply_spec(components, spec)
         watch.call_on_change(slots.wake)
         watch.call_on_silence(lambda silence: self._note_silence(components, silence))
-        watch.call_on_loss(lambda loss: self._note_loss(spec.name, loss))
-        watch.call_on_return(lambda name: self._note_return(spec.name, name))
+        watch.call_on_connection_loss(lambda loss: self._note_loss(spec.name, loss))
+        watch.call_on_recovery(lambda name: self._note_return(spec.name, name))
         self._runtime.start(keeper.run)
         return GroupServer(
             self._runtime,
@@ -212,7 +212,7 @@
                     self._runtime, endpoint, open_link, limit
                 )
 
-    def _note_silence(self, components: GroupComponents, silence: Silence) -> None:
+    def _note_silence(self, components: GroupComponents, silence: ContactLoss) -> None:
         self._metrics.count_event("endpoint_silent")
         group = components.watch.spec.name
         extra = {"group": group, **silence._asdict()}
@@ -221,7 +221,7 @@
         if pool is not None:
             pool.drop()
 
-    def _note_loss(self, group: str, loss: Silence) -> None:
+    def _note_loss(self, group: str, loss: ContactLoss) -> None:
         self._metrics.count_event("endpoint_link_lost")
         extra = {"group": group, **loss._asdict()}
         self._log.info("A connection to an endpoint was renewed.", extra=extra)
--- a/bronzerelay/reads.py
+++ b/bronzerelay/reads.py
@@ -10,7 +10,7 @@
 from bronzerelay.runtime import Runtime
 from bronzerelay.sessions import advance_session
 from bronzerelay.types import Position, StatementAnswer
-from bronzerelay.watch import CUT_OFF_WAIT_MS, PRIMARY
+from bronzerelay.watch import NO_MAJORITY_WAIT_MS, PRIMARY
 from bronzerelay.work import Work
 
 # A read waits this long for a replica that has what it needs, then the primary may
@@ -96,7 +96,7 @@
         by_primary = name == self._watch.primary()
         # What only a minority holds is gone when the primary fails now, and the
         # session would miss what it has seen.
-        in_doubt = by_primary or self._watch.majority() > REPLICA_MAJORITY
+        in_doubt = by_primary or self._watch.majority_size() > REPLICA_MAJORITY
         wait_ms = self._proof_wait_ms(work)
         policy = self._components.policy
         if in_doubt and not policy.wait_acknowledged(self._watch, seen, wait_ms):
@@ -110,7 +110,9 @@
     def _proof_wait_ms(self, work: Work) -> float:
         """Return how long to wait for a proof: not for long where none can come."""
         left_ms = self._instances.left_ms(work)
-        return left_ms if self._watch.has_majority() else min(left_ms, CUT_OFF_WAIT_MS)
+        return (
+            left_ms if self._watch.has_majority() else min(left_ms, NO_MAJORITY_WAIT_MS)
+        )
 
     def _refuse_unproven(self, work: Work, why: str) -> Result:
         """Return the refusal of a read in vain, or the error that lets it retry."""
--- a/bronzerelay/watch.py
+++ b/bronzerelay/watch.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of a database group: terms, positions, and their age."""
+"""Watches a database group: terms, log positions and the age of replicas' data."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,19 +10,21 @@
 from bronzerelay.types import EndpointSpec, GroupSpec, Position
 
 PRIMARY = "primary"
-# The pause after a refused or a lost connection before the instance is asked again.
-REDIAL_MS = 40
+# The pause before reconnecting after a connection was refused or lost.
+RECONNECT_PAUSE_MS = 40
 CONNECT_TIMEOUT_MS = 300
-# How much later than asked for an answer may come before its connection counts as lost,
-# and how long a new connection then has to bring one. An instance is silent after both.
+# How long after the requested wait an answer may come before its connection counts as
+# lost, and how long a new connection then has to get one. An instance without an answer
+# after both counts as silent.
 ANSWER_MARGIN_MS = 150
-CONFIRM_MS = 100
-# How long a request waits for a group of which no majority answers.
-CUT_OFF_WAIT_MS = 250
-# How many samples of the primary's position are kept as proofs of age, and how far
-# apart. Without the gap a busy primary pushes out within a moment every sample that a
-# replica has reached, and all reads fall on the primary when replicas lag most.
-SAMPLES = 512
+RECONNECT_ANSWER_MS = 100
+# How long a request waits for a group while no majority of its instances answers.
+NO_MAJORITY_WAIT_MS = 250
+# How many samples of the primary's position are kept to prove the age of data, and the
+# time between them. Without that gap a busy primary's samples would soon displace all
+# those that a replica has reached, and all reads would go to the primary just when
+# replicas lag most.
+SAMPLE_LIMIT = 512
 SAMPLE_GAP_MS = 20
 
 Opener = Callable[
@@ -31,9 +33,9 @@
 
 
 class InstanceState(NamedTuple):
-    """The last answer of an instance; `sent_at_ms` is when it was asked.
+    """The last answer of an instance; `sent_at_ms` is when that poll was sent.
 
-    `is_judged` tells that it has answered, or failed to, since it is watched.
+    `was_polled` is true once a first poll has ended, with an answer or without one.
     """
 
     term: int = 0
@@ -42,10 +44,10 @@
     position: int = 0
     sent_at_ms: float = float("-inf")
     reachable: bool = False
-    is_judged: bool = False
+    was_polled: bool = False
 
     @property
-    def was_heard(self) -> bool:
+    def has_answered(self) -> bool:
         """Return whether the instance has ever answered."""
         return bool(self.role)
 
@@ -55,7 +57,7 @@
 
 
 def find_highest_term(states: dict[str, InstanceState]) -> int:
-    """Return the highest term that any instance has told, 0 without one."""
+    """Return the highest term that any instance has reported, 0 without one."""
     return max((state.term for state in states.values()), default=0)
 
 
@@ -69,30 +71,30 @@
 
 
 class Sample(NamedTuple):
-    """The primary's position was at most `position` at `at_ms`, own clock."""
+    """The primary's position was at most `position` at `at_ms` by the own clock."""
 
     at_ms: float
     term: int
     position: int
 
 
-class Silence(NamedTuple):
-    """An instance stopped answering: what was lost, and since when it was silent."""
+class ContactLoss(NamedTuple):
+    """A poll failed: why, and for how long the instance has been silent."""
 
     endpoint: str
     reason: str
     silent_ms: int
 
 
-class LostPoll(NamedTuple):
-    """A poll without an answer, and the time that a new connection has to bring one."""
+class FailedPoll(NamedTuple):
+    """A poll without an answer, and the time that a new connection has to get one."""
 
     error: EndpointError
     left_ms: float
 
 
 class GroupWatch:
-    """Long polls each instance of one group, one task for each."""
+    """Polls each instance of one group in a task of its own, by long polling."""
 
     def __init__(
         self, runtime: Runtime, spec: GroupSpec, opener: Opener, status_wait_ms: int
@@ -102,96 +104,96 @@
         self._status_wait_ms = status_wait_ms
         self.spec = spec
         self.condition = runtime.make_condition()
-        # Both are replaced whole at each change, so that a reader without the
-        # condition never meets one that changes under it.
+        # Both are replaced as a whole at each update, never modified, as they are also
+        # read without holding the condition.
         self.states: dict[str, InstanceState] = {}
         self._samples: tuple[Sample, ...] = ()
         self._stopped = False
         self._on_change: list[Callable[[], None]] = []
-        self._on_silence: list[Callable[[Silence], None]] = []
-        self._on_return: list[Callable[[str], None]] = []
-        self._on_loss: list[Callable[[Silence], None]] = []
+        self._on_silence: list[Callable[[ContactLoss], None]] = []
+        self._on_recovery: list[Callable[[str], None]] = []
+        self._on_connection_loss: list[Callable[[ContactLoss], None]] = []
         self._watched: dict[str, EndpointSpec] = {}
         self.set_spec(spec)
 
     def call_on_change(self, function: Callable[[], None]) -> None:
-        """Call `function` after each change of an instance's state."""
+        """Call `function` after each update of an instance's state."""
         self._on_change.append(function)
 
-    def call_on_silence(self, function: Callable[[Silence], None]) -> None:
+    def call_on_silence(self, function: Callable[[ContactLoss], None]) -> None:
         """Call `function` for each instance that stops answering."""
         self._on_silence.append(function)
 
-    def call_on_return(self, function: Callable[[str], None]) -> None:
+    def call_on_recovery(self, function: Callable[[str], None]) -> None:
         """Call `function` with the name of each instance that answers again."""
-        self._on_return.append(function)
+        self._on_recovery.append(function)
 
-    def call_on_loss(self, function: Callable[[Silence], None]) -> None:
-        """Call `function` for each lost connection to an instance that answers."""
-        self._on_loss.append(function)
+    def call_on_connection_loss(self, function: Callable[[ContactLoss], None]) -> None:
+        """Call `function` when a connection is lost and a new one gets an answer."""
+        self._on_connection_loss.append(function)
 
     def set_spec(self, spec: GroupSpec) -> None:
-        """Take over a new list of instances."""
+        """Apply a new list of instances."""
         with self.condition:
             self.spec = spec
             wanted = {endpoint.name: endpoint for endpoint in spec.endpoints}
-            kept = {name: self.states[name] for name in wanted if name in self.states}
-            fresh = [
+            known = {name: self.states[name] for name in wanted if name in self.states}
+            added = [
                 endpoint
                 for name, endpoint in wanted.items()
                 if not _is_same_target(self._watched.get(name), endpoint)
             ]
             self._watched = wanted
-            self.states = kept | {one.name: InstanceState() for one in fresh}
-        for endpoint in fresh:
+            self.states = known | {endpoint.name: InstanceState() for endpoint in added}
+        for endpoint in added:
             self._runtime.start(self._watch, endpoint)
 
     def stop(self) -> None:
-        """End the tasks; each ends after its current poll."""
+        """Stop the tasks; each ends after its current poll."""
         with self.condition:
             self._stopped = True
             self.condition.notify_all()
 
-    # One task for each instance
+    # The task of one instance
 
     def _watch(self, endpoint: EndpointSpec) -> None:
-        while self._wants(endpoint):
+        while self._is_watched(endpoint):
             opened = self._opener(endpoint, "monitor", CONNECT_TIMEOUT_MS)
             error = opened.error if opened.is_error() else None
             if opened.is_ok():
-                error = self._poll_over(endpoint, opened.ok)
+                error = self._poll_reconnecting(endpoint, opened.ok)
             if error is not None:
-                self._note_failure(endpoint, error)
-            if not self._runtime.sleep_ms(REDIAL_MS):
+                self._record_failure(endpoint, error)
+            if not self._runtime.sleep_ms(RECONNECT_PAUSE_MS):
                 return
 
-    def _poll_over(
+    def _poll_reconnecting(
         self, endpoint: EndpointSpec, link: EndpointLink
     ) -> EndpointError | None:
-        """Poll over a link, and over a new one as long as one brings an answer.
+        """Poll over `link`, then over new links while each gets an answer in time.
 
-        A connection may be lost while its instance is well. Were that enough to call
-        the instance silent, a healthy primary would be replaced, and what runs on it
-        would be broken off.
+        A connection may be lost while its instance is healthy. If that alone made the
+        instance count as silent, a healthy primary would be replaced, and the
+        statements that run on it would be aborted.
         """
         while True:
-            lost = self._poll(endpoint, link)
+            failed = self._poll(endpoint, link)
             link.close()
-            if lost is None:
+            if failed is None:
                 return None
-            silence = self._describe(endpoint, lost.error)
-            renewed = self._renew(endpoint, lost.left_ms)
-            if renewed is None:
-                return lost.error
-            link = renewed
-            for function in self._on_loss:
-                function(silence)
-            if not self._runtime.sleep_ms(REDIAL_MS):
+            loss = self._describe_loss(endpoint, failed.error)
+            reconnected = self._reconnect(endpoint, failed.left_ms)
+            if reconnected is None:
+                return failed.error
+            link = reconnected
+            for function in self._on_connection_loss:
+                function(loss)
+            if not self._runtime.sleep_ms(RECONNECT_PAUSE_MS):
                 link.close()
                 return None
 
-    def _renew(self, endpoint: EndpointSpec, left_ms: float) -> EndpointLink | None:
-        """Return a new link over which the instance has answered within a time."""
+    def _reconnect(self, endpoint: EndpointSpec, left_ms: float) -> EndpointLink | None:
+        """Return a new link if the instance answers over it within `left_ms`."""
         end_ms = self._runtime.clock.now_ms() + left_ms
         opened = self._opener(endpoint, "monitor", left_ms)
         if not opened.is_ok():
@@ -201,32 +203,33 @@
         if not result.is_ok():
             opened.ok.close()
             return None
-        self._note_answer(endpoint, result.ok, sent_at_ms)
+        self._record_answer(endpoint, result.ok, sent_at_ms)
         return opened.ok
 
-    def _wants(self, endpoint: EndpointSpec) -> bool:
+    def _is_watched(self, endpoint: EndpointSpec) -> bool:
         with self.condition:
             current = self._watched.get(endpoint.name)
             return not self._stopped and _is_same_target(current, endpoint)
 
-    def _poll(self, endpoint: EndpointSpec, link: EndpointLink) -> LostPoll | None:
-        """Poll until an answer is missing; return None when nobody asks any more."""
+    def _poll(self, endpoint: EndpointSpec, link: EndpointLink) -> FailedPoll | None:
+        """Poll until a poll fails; return None if the instance is no longer watched."""
         state = InstanceState()
         wait_ms = 0
-        while self._wants(endpoint):
+        while self._is_watched(endpoint):
             sent_at_ms = self._runtime.clock.now_ms()
             timeout_ms = wait_ms + ANSWER_MARGIN_MS
             result = link.status(state.term, state.position, wait_ms, timeout_ms)
             if not result.is_ok():
-                # A daemon that was paused itself gives as much time again.
+                # If the timeout came late, this daemon was paused itself: it gives the
+                # new connection as much time again.
                 late_ms = self._runtime.clock.now_ms() - sent_at_ms - timeout_ms
                 spare_ms = late_ms if late_ms >= 0 else ANSWER_MARGIN_MS
-                return LostPoll(result.error, CONFIRM_MS + spare_ms)
-            state = self._note_answer(endpoint, result.ok, sent_at_ms)
+                return FailedPoll(result.error, RECONNECT_ANSWER_MS + spare_ms)
+            state = self._record_answer(endpoint, result.ok, sent_at_ms)
             wait_ms = self._status_wait_ms
         return None
 
-    def _note_answer(
+    def _record_answer(
         self, endpoint: EndpointSpec, answer: StatusAnswer, sent_at_ms: float
     ) -> InstanceState:
         state = InstanceState(
@@ -236,7 +239,7 @@
             answer.position,
             sent_at_ms,
             reachable=True,
-            is_judged=True,
+            was_polled=True,
         )
         with self.condition:
             known = self.states.get(endpoint.name)
@@ -245,60 +248,65 @@
             if state.role == PRIMARY:
                 self._add_sample(Sample(sent_at_ms, state.term, state.position))
             self.condition.notify_all()
-        if known is not None and known.was_heard and not known.reachable:
-            for function in self._on_return:
+        if known is not None and known.has_answered and not known.reachable:
+            for function in self._on_recovery:
                 function(endpoint.name)
-        self._tell_change()
+        self._notify_change()
         return state
 
     def _add_sample(self, sample: Sample) -> None:
-        """Keep the newest sample, and of the older ones those far enough apart."""
-        kept = self._samples
-        if len(kept) >= 2 and kept[-1].at_ms - kept[-2].at_ms < SAMPLE_GAP_MS:
-            kept = kept[:-1]
-        self._samples = (*kept[1 - SAMPLES :], sample)
+        """Add the newest sample; older ones are kept if they are far enough apart."""
+        samples = self._samples
+        if len(samples) >= 2 and samples[-1].at_ms - samples[-2].at_ms < SAMPLE_GAP_MS:
+            samples = samples[:-1]
+        self._samples = (*samples[1 - SAMPLE_LIMIT :], sample)
 
-    def _note_failure(self, endpoint: EndpointSpec, error: EndpointError) -> None:
+    def _record_failure(self, endpoint: EndpointSpec, error: EndpointError) -> None:
         with self.condition:
             state = self.states.get(endpoint.name)
             fell_silent = state is not None and state.reachable
             if state is not None:
-                failed = state._replace(reachable=False, is_judged=True)
+                failed = state._replace(reachable=False, was_polled=True)
                 self.states = {**self.states, endpoint.name: failed}
             self.condition.notify_all()
         if fell_silent:
-            silence = self._describe(endpoint, error)
+            loss = self._describe_loss(endpoint, error)
             for function in self._on_silence:
-                function(silence)
-        self._tell_change()
+                function(loss)
+        self._notify_change()
 
-    def _describe(self, endpoint: EndpointSpec, error: EndpointError) -> Silence:
+    def _describe_loss(
+        self, endpoint: EndpointSpec, error: EndpointError
+    ) -> ContactLoss:
         state = self.states.get(endpoint.name, InstanceState())
         silent_ms = self._runtime.clock.now_ms() - state.sent_at_ms
-        silent_ms = round(silent_ms) if state.was_heard else 0
-        return Silence(endpoint.name, error.message, silent_ms)
+        silent_ms = round(silent_ms) if state.has_answered else 0
+        return ContactLoss(endpoint.name, error.message, silent_ms)
 
-    def _tell_change(self) -> None:
+    def _notify_change(self) -> None:
         for function in self._on_change:
             function()
 
-    # Judgements; the caller may hold the condition
+    # Conclusions from the states; these don't acquire the condition
 
-    def majority(self) -> int:
-        """Return how many instances are more than half."""
+    def majority_size(self) -> int:
+        """Return how many instances make a majority."""
         return len(self.spec.endpoints) // 2 + 1
 
     def highest_term(self) -> int:
-        """Return the highest term that any instance has told."""
+        """Return the highest term that any instance has reported."""
         return find_highest_term(self.states)
 
     def primary(self) -> str | None:
         """Return the reachable primary of the highest known term, or None."""
         return find_primary(self.states)
 
-    def has_judged_all(self) -> bool:
-        """Return whether each instance has answered, or failed to, at least once."""
-        return all(state.is_judged for state in self.states.values())
+    def has_polled_all(self) -> bool:
+        """Return whether each instance has been polled at least once.
+
+        A poll that got no answer counts as well.
+        """
+        return all(state.was_polled for state in self.states.values())
 
     def count_reachable(self) -> int:
         """Return how many instances answer."""
@@ -306,28 +314,28 @@
 
     def has_majority(self) -> bool:
         """Return whether a majority of the instances answers."""
-        return self.count_reachable() >= self.majority()
+        return self.count_reachable() >= self.majority_size()
 
     def is_held_by_majority(self, need: Position) -> bool:
-        """Return whether a majority, at the term of `need`, holds that position.
+        """Return whether a majority of instances at the term of `need` holds it.
 
-        An instance that has accepted a later term doesn't count, so that a write
-        is never acknowledged on the word of a primary that has been replaced.
+        An instance that has accepted a later term doesn't count: a position of that
+        term may stand for other entries, and the primary of `need` is replaced.
         """
         count = 0
         for state in self.states.values():
             same_term = state.term == need.term and state.log_term == need.term
             if same_term and state.position >= need.position:
                 count += 1
-        return count >= self.majority()
+        return count >= self.majority_size()
 
     def proven_age_ms(self, name: str) -> float:
         """Return how old the data of instance `name` can be at most.
 
-        The primary's position counts as a proof for the moment at which it was
-        asked, and only up to the latest moment after which a majority was asked and
-        still stood at that term: a primary that was cut off and replaced goes on
-        telling its old position, and would pass for fresh without this.
+        A position that the primary reported proves the age as of the time when that
+        poll was sent, but not later than the last time at which a majority was polled
+        and still at the same term. Without that limit a replaced primary that is cut
+        off would seem fresh, as it keeps reporting its old position.
         """
         state = self.states.get(name)
         if state is None:
@@ -338,50 +346,50 @@
     def is_proven_since(
         self, seen: Position, since_ms: float, by_primary: bool
     ) -> bool:
-        """Return whether a log ending at `seen` holds all that counted at `since_ms`.
+        """Return whether a log ending at `seen` holds all data as of `since_ms`.
 
-        The primary's own log, `by_primary`, holds all of its term; that the term
-        hadn't ended by then needs a proof all the same.
+        The primary's own log (`by_primary`) holds all entries of its term, but it still
+        has to be proven that the term hadn't ended by `since_ms`.
         """
         if by_primary:
             is_current = seen.term == self.highest_term()
-            return is_current and self._majority_asked_at_ms(seen.term) >= since_ms
+            return is_current and self._majority_polled_at_ms(seen.term) >= since_ms
         return self._proven_at_ms(seen) >= since_ms
 
     def _proven_at_ms(self, end: Position) -> float:
-        """Return the latest time whose data a log ending at `end` surely holds."""
+        """Return the latest time as of which a log ending at `end` holds all data."""
         term = self.highest_term()
         if end.term != term:
             return float("-inf")
         for sample in reversed(self._samples):
             if sample.term == term and sample.position <= end.position:
-                return min(sample.at_ms, self._majority_asked_at_ms(term))
+                return min(sample.at_ms, self._majority_polled_at_ms(term))
         return float("-inf")
 
-    def _majority_asked_at_ms(self, term: int) -> float:
-        asked = [
+    def _majority_polled_at_ms(self, term: int) -> float:
+        polled = [
             state.sent_at_ms for state in self.states.values() if state.term == term
         ]
-        asked.sort(reverse=True)
-        needed = self.majority()
-        return asked[needed - 1] if len(asked) >= needed else float("-inf")
+        polled.sort(reverse=True)
+        needed = self.majority_size()
+        return polled[needed - 1] if len(polled) >= needed else float("-inf")
 
     # Waiting
 
     def wait_primary(self, timeout_ms: float) -> tuple[str, int] | None:
         """Return the primary and its term, waiting up to `timeout_ms` for one.
 
-        Without a majority in reach it waits only `CUT_OFF_WAIT_MS`: another daemon
-        may reach the group, and the time would be lost to it.
+        Without a reachable majority it waits only `NO_MAJORITY_WAIT_MS`, to leave time
+        for another daemon that may reach the group.
         """
-        # Each request comes here, and most find a primary. Hundreds that pass one lock
-        # for that hold each other up, and the answers to peers as well.
+        # Each request calls this, and most find a primary at once. If hundreds of them
+        # acquired the lock for that, they would delay each other and answers to peers.
         states = self.states
         name = find_primary(states)
         if name is not None:
             return name, states[name].term
         with self.condition:
-            short_ms = min(timeout_ms, CUT_OFF_WAIT_MS)
+            short_ms = min(timeout_ms, NO_MAJORITY_WAIT_MS)
             self._runtime.wait_for(
                 self.condition, lambda: self.primary() or self.has_majority(), short_ms
             )
@@ -396,7 +404,10 @@
     def wait_proven(
         self, seen: Position, since_ms: float, by_primary: bool, timeout_ms: float
     ) -> bool:
-        """Return whether `seen` came to be proven before a newer term was known."""
+        """Wait until `is_proven_since` holds or a newer term is known.
+
+        Return whether `is_proven_since` holds.
+        """
         with self.condition:
             self._runtime.wait_for(
                 self.condition,
@@ -409,7 +420,10 @@
             return self.is_proven_since(seen, since_ms, by_primary)
 
     def wait_majority(self, need: Position, timeout_ms: float) -> bool:
-        """Return whether a majority came to hold `need` before a newer term did."""
+        """Wait until a majority holds `need` or a newer term is known.
+
+        Return whether a majority holds `need`.
+        """
         if self.is_held_by_majority(need):
             return True
         with self.condition:
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -522,8 +522,8 @@
     Mutation(
         "a lost status connection is renewed",
         "bronzerelay/watch.py",
-        "renewed = self._renew(endpoint, lost.left_ms)",
-        "renewed = None",
+        "reconnected = self._reconnect(endpoint, failed.left_ms)",
+        "reconnected = None",
         "tests/test_promise_once.py::test_lost_connection_replaces_no_primary",
     ),
     Mutation(
--- a/tests/test_promise_sessions.py
+++ b/tests/test_promise_sessions.py
@@ -173,9 +173,9 @@
         start_ms = runtime.clock.now_ms() - 2000
         for step in range(2000):
             status = StatusAnswer(1, "primary", 1, step)
-            watch._note_answer(endpoint, status, start_ms + step)
+            watch._record_answer(endpoint, status, start_ms + step)
         status = StatusAnswer(1, "replica", 1, 1000)
-        watch._note_answer(replica, status, start_ms + 2000)
+        watch._record_answer(replica, status, start_ms + 2000)
         assert 1000 <= watch.proven_age_ms("orders-2") < 1000 + 100
         assert watch.proven_age_ms("orders-1") < 100
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon concludes from the instances' answers."""
+"""Tests of what a daemon concludes from the answers of a group's instances."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def watch():
-    """A watch without tasks, whose states a test sets itself."""
+    """A watch without tasks; the tests set its states."""
     runtime = Runtime(4)
     runtime.start = lambda *_: None
     runtime.clock = FixedClock()
@@ -39,10 +39,10 @@
 
 
 def test_a_replaced_primary_gathers_no_majority(watch):
-    """The primary was replaced after it took a write, by a fence of the others.
+    """The primary was replaced after it ran a write, by fencing the other instances.
 
-    Both replicas may even hold the position, from the new primary's own entries.
-    Counting them would acknowledge a write that the new log doesn't hold.
+    These may reach the same position with entries of the new primary. Counting them
+    would acknowledge a write that the new log doesn't hold.
     """
     set_states(
         watch,
@@ -55,11 +55,11 @@
     assert watch.primary() == "orders-2"
 
 
-def test_a_primary_cut_off_proves_no_age(watch):
-    """The daemon hears only from a primary that may have been replaced long ago.
+def test_a_cut_off_primary_proves_no_age(watch):
+    """The daemon reaches only a primary that may have been replaced long ago.
 
-    Its position is fresh and says nothing: the new primary takes changes elsewhere.
-    A read would be answered with data far older than the caller allowed.
+    Its position is recent but proves nothing, as writes may run on a new primary. A
+    read would return data far older than the caller allowed.
     """
     set_states(
         watch,
@@ -71,10 +71,10 @@
     assert watch.proven_age_ms("orders-1") == 5000
 
 
-def test_the_age_counts_from_the_question_not_from_the_answer(watch):
-    """A long poll was asked long before it was answered.
+def test_the_age_counts_from_sending_the_poll_not_from_its_answer(watch):
+    """A long poll is sent long before it is answered.
 
-    Changes may have come in between, so only the moment of asking proves anything.
+    Writes may have run in between, so only the time of sending proves anything.
     """
     fresh = make_state(1, 1, 9, role="primary")
     set_states(watch, fresh, make_state(1, 1, 8), make_state(1, 1, 9))
@@ -83,21 +83,21 @@
     assert watch.proven_age_ms("orders-3") == 20
 
 
-def test_a_silence_says_what_was_lost_and_since_when():
-    """Guards against a log that can't tell a lost connection from no answer."""
+def test_a_silence_reports_its_reason_and_duration():
+    """Guards against logs that don't tell a lost connection from a missing answer."""
     with open_group() as group:
         runtime = group.runtime
         spec = make_group_spec(group)
         watch = GroupWatch(runtime, spec, group.open_endpoint, STATUS_WAIT_MS)
-        silences, returned = [], []
-        watch.call_on_silence(silences.append)
-        watch.call_on_return(returned.append)
+        losses, recovered = [], []
+        watch.call_on_silence(losses.append)
+        watch.call_on_recovery(recovered.append)
         wait_until(runtime, lambda: watch.count_reachable() == len(NAMES))
         group.admin("orders-2", "freeze")
-        wait_until(runtime, lambda: silences)
+        wait_until(runtime, lambda: losses)
         group.admin("orders-2", "thaw")
-        wait_until(runtime, lambda: returned)
+        wait_until(runtime, lambda: recovered)
         watch.stop()
-    assert (silences[0].endpoint, returned[0]) == ("orders-2", "orders-2")
-    assert "timed out" in silences[0].reason
-    assert silences[0].silent_ms >= STATUS_WAIT_MS
+    assert (losses[0].endpoint, recovered[0]) == ("orders-2", "orders-2")
+    assert "timed out" in losses[0].reason
+    assert losses[0].silent_ms >= STATUS_WAIT_MS
