--- a/bronzerelay/failover.py
+++ b/bronzerelay/failover.py
@@ -1,9 +1,9 @@
 """Promotion: fence a majority of a group at a new term, then promote the best log.
 
-The instances themselves decide. Each accepts a term once, so of two daemons that
-fence with the same term at most one gets a majority; and any majority contains an
-instance that holds each acknowledged write. No record of the platform is needed, so
-that a primary that fails while the platform is out is replaced as quickly as ever.
+The instances themselves decide. Each accepts a term only once, so of two daemons that
+fence with the same term at most one gets a majority; and for each acknowledged write,
+any majority contains an instance that holds it. No record of the platform is needed, so
+a primary that fails while the platform is unavailable is replaced just as quickly.
 """
 
 from collections.abc import Callable
@@ -17,44 +17,49 @@
 from bronzerelay.watch import CONNECT_TIMEOUT_MS, GroupWatch, Opener
 
 CALL_TIMEOUT_MS = 400
-# A group without a primary is left alone for this long when somebody else seems to
-# be promoting: two daemons that fence by turns would keep each other from ending.
-RIVAL_PAUSE_MS = (120, 360)
-# After a failed try the next one waits, longer each time, up to the last entry.
-RETRY_PAUSE_MS = (30, 60, 120, 240, 480)
-CHECK_MS = 25
-# How often an instance that lags behind a change of primary is pointed to it again.
-REDIRECT_MS = 200
-# A primary is taken for cut from its replicas when these need this many times longer
-# than usual, and never sooner than the floor. The first is a guess of the usual time.
+# How long to leave a group without a primary alone when another daemon seems to be
+# promoting: two daemons that fence in turn would keep each other from succeeding.
+COMPETITOR_PAUSE_MS = (120, 360)
+# The backoff after each failed promotion in a row; the last entry repeats.
+RETRY_BACKOFF_MS = (30, 60, 120, 240, 480)
+CHECK_INTERVAL_MS = 25
+# How often an instance that doesn't follow the primary yet is pointed to it again.
+REPOINT_INTERVAL_MS = 200
+# A primary counts as cut off from its replicas when a majority needs this many times
+# longer than usual to catch up, and never sooner than the floor. `INITIAL_CATCH_UP_MS`
+# is the assumed usual time at the start, and `CATCH_UP_DECAY` is how much of the usual
+# time remains when catching up took less.
 STALL_FACTOR = 3.0
 STALL_FLOOR_MS = 600.0
-FIRST_CATCH_UP_MS = 400.0
-CATCH_UP_MEMORY = 0.9
-# A planned change of primary waits this long for a replica to catch up.
-CATCH_UP_MS = 1000
+INITIAL_CATCH_UP_MS = 400.0
+CATCH_UP_DECAY = 0.9
+# How long a switchover waits for a replica to catch up.
+CATCH_UP_TIMEOUT_MS = 1000
 
 
 class Outcome(NamedTuple):
-    """How a try to promote ended; `primary` is empty when it failed."""
+    """The outcome of a promotion; `primary` is empty if it failed."""
 
     primary: str
     term: int
     reason: str
 
 
-class Fenced(NamedTuple):
-    """An instance that accepted the new term, with its log's end."""
+class FencedInstance(NamedTuple):
+    """An instance that accepted the new term, and the end of its log."""
 
     endpoint: EndpointSpec
     link: EndpointLink
     end: Position
 
 
-def run_together(
+def run_concurrently(
     runtime: Runtime, function: Callable[..., Any], items: list
 ) -> list[Any]:
-    """Return `function(item)` for each item, each run as a task of its own."""
+    """Call `function` for each item in a task of its own; return the results.
+
+    An item for which no task can be started is left out.
+    """
     futures = []
     for item in items:
         try:
@@ -65,7 +70,7 @@
 
 
 class Promoter:
-    """Changes the primary of one group."""
+    """Changes the primary of a group."""
 
     def __init__(self, runtime: Runtime, opener: Opener):
         self._runtime = runtime
@@ -78,8 +83,8 @@
 
         Nothing is promoted without a majority of the group in `spec`.
         """
-        fenced = run_together(
-            self._runtime, lambda one: self._fence(one, term), endpoints
+        fenced = run_concurrently(
+            self._runtime, lambda endpoint: self._fence(endpoint, term), endpoints
         )
         accepted = [item for item in fenced if item is not None]
         try:
@@ -88,7 +93,7 @@
             for item in accepted:
                 item.link.close()
 
-    def _fence(self, endpoint: EndpointSpec, term: int) -> Fenced | None:
+    def _fence(self, endpoint: EndpointSpec, term: int) -> FencedInstance | None:
         opened = self._opener(endpoint, "monitor", CONNECT_TIMEOUT_MS)
         if not opened.is_ok():
             return None
@@ -97,22 +102,22 @@
             opened.ok.close()
             return None
         end = Position(result.ok.log_term, result.ok.position)
-        return Fenced(endpoint, opened.ok, end)
+        return FencedInstance(endpoint, opened.ok, end)
 
     def _promote_best(
-        self, spec: GroupSpec, term: int, accepted: list[Fenced]
+        self, spec: GroupSpec, term: int, accepted: list[FencedInstance]
     ) -> Outcome:
         needed = len(spec.endpoints) // 2 + 1
         if len(accepted) < needed:
             reason = f"{len(accepted)} of {len(spec.endpoints)} accepted the term"
             return Outcome("", term, reason)
-        # Among equal logs an endpoint that is leaving comes last.
+        # Among equal logs an endpoint that isn't leaving is preferred.
         best = max(accepted, key=lambda item: (item.end, not item.endpoint.leaving))
         result = best.link.promote(term, CALL_TIMEOUT_MS)
         if not result.is_ok():
             return Outcome("", term, f"{best.endpoint.name}: {result.error.message}")
         followers = [item for item in accepted if item is not best]
-        run_together(
+        run_concurrently(
             self._runtime,
             lambda item: item.link.follow(
                 term, str(best.endpoint.address), CALL_TIMEOUT_MS
@@ -123,31 +128,31 @@
 
 
 class StallDetector:
-    """Notices that a primary's log grows and no majority follows.
+    """Detects that a primary's log grows while no majority of instances follows.
 
-    A primary that is cut from its replicas, but not from us, takes writes that can
-    never be acknowledged, and looks healthy otherwise. How long replicas usually need
-    is measured, so that a long lag alone isn't taken for a cut.
+    A primary that is cut off from its replicas, but not from this daemon, runs writes
+    that can never be acknowledged, and looks healthy otherwise. The usual time to catch
+    up is measured, so that replicas with a constant long lag aren't taken for cut off.
     """
 
     def __init__(self, runtime: Runtime):
         self._runtime = runtime
-        self._usual_ms = FIRST_CATCH_UP_MS
+        self._usual_ms = INITIAL_CATCH_UP_MS
         self._awaited: Position | None = None
         self._since_ms = 0.0
 
-    def restart(self) -> None:
-        """Forget what is awaited; the primary changes."""
+    def reset(self) -> None:
+        """Drop the awaited position, as the primary changes."""
         self._awaited = None
 
     def is_stalled(self, watch: GroupWatch, primary: str) -> bool:
-        """Return whether the majority has been behind for far longer than usual."""
+        """Return whether a majority has been behind for far longer than usual."""
         state = watch.states.get(primary)
         if state is None:
             return False
         now_ms = self._runtime.clock.now_ms()
         if self._awaited is not None and watch.is_held_by_majority(self._awaited):
-            self._learn(now_ms - self._since_ms)
+            self._update_usual(now_ms - self._since_ms)
             self._awaited = None
         end = Position(state.log_term, state.position)
         if self._awaited is None or self._awaited.term != end.term:
@@ -157,17 +162,17 @@
         limit_ms = max(STALL_FLOOR_MS, STALL_FACTOR * self._usual_ms)
         return now_ms - self._since_ms > limit_ms
 
-    def _learn(self, took_ms: float) -> None:
-        """Follow a longer time at once and a shorter one slowly."""
-        self._usual_ms = max(took_ms, self._usual_ms * CATCH_UP_MEMORY)
+    def _update_usual(self, took_ms: float) -> None:
+        """Raise the usual time at once to a longer one; lower it slowly."""
+        self._usual_ms = max(took_ms, self._usual_ms * CATCH_UP_DECAY)
 
 
-class GroupKeeper:
-    """Keeps one group served: promotes when needed, and points strays to the primary.
+class FailoverManager:
+    """Runs one group's failovers and switchovers, and points replicas to the primary.
 
-    Any daemon may do this for any group at any time; the terms keep it safe, and
-    only the daemon that serves the group does, to keep it calm. `note_outcome` is told
-    each outcome, and why the change was tried.
+    The terms make it safe for any daemon to do this at any time. Only the serving
+    daemon does, as competing daemons would delay each other. `report_outcome` is called
+    with the outcome of each promotion and the reason for the promotion.
     """
 
     def __init__(
@@ -176,19 +181,19 @@
         watch: GroupWatch,
         opener: Opener,
         is_serving: Callable[[], bool],
-        note_outcome: Callable[[Outcome, str], None],
+        report_outcome: Callable[[Outcome, str], None],
     ):
         self._runtime = runtime
         self._watch = watch
         self._opener = opener
         self._promoter = Promoter(runtime, opener)
         self._is_serving = is_serving
-        self._note_outcome = note_outcome
+        self._report_outcome = report_outcome
         self._failures = 0
-        self._redirect_at_ms = 0.0
-        self._stall = StallDetector(runtime)
-        # While true, no write may start: the primary is being changed on purpose.
-        self.holds_writes = False
+        self._repoint_at_ms = 0.0
+        self._stall_detector = StallDetector(runtime)
+        # While true, no write may start, as a switchover is under way.
+        self.writes_paused = False
         self._stopped = False
 
     def stop(self) -> None:
@@ -196,45 +201,48 @@
         self._stopped = True
 
     def run(self) -> None:
-        """Look after the group until stopped."""
-        while not self._stopped and self._runtime.sleep_ms(CHECK_MS):
+        """Check the group regularly until stopped."""
+        while not self._stopped and self._runtime.sleep_ms(CHECK_INTERVAL_MS):
             if not self._is_serving():
                 continue
             primary = self._watch.primary()
             if primary is None:
                 self._replace_primary()
-            elif self._stall.is_stalled(self._watch, primary):
+            elif self._stall_detector.is_stalled(self._watch, primary):
                 self._replace_stalled(primary)
             else:
                 self._failures = 0
-                self._redirect_strays(primary)
-                self._move_off_leaving(primary)
+                self._repoint_replicas(primary)
+                self._switch_over_leaving(primary)
 
     def _replace_stalled(self, primary: str) -> None:
-        """Replace a primary that we reach and its replicas don't.
+        """Replace a primary that this daemon reaches and its replicas don't.
 
-        It is left out of the fence, for its log is the longest: it would be chosen
-        again. The others are a majority by themselves, so they hold every
-        acknowledged write.
+        It isn't fenced: its log is the longest, so it would be promoted again. The
+        other instances must be a majority, so that they hold every acknowledged write.
         """
         spec = self._watch.spec
-        others = [one for one in self._list_reachable(spec) if one.name != primary]
+        others = [
+            endpoint
+            for endpoint in self._list_reachable(spec)
+            if endpoint.name != primary
+        ]
         if len(others) >= self._watch.majority_size():
-            self._stall.restart()
+            self._stall_detector.reset()
             term = self._watch.highest_term() + 1
-            self._promote(term, others, f"{primary} is cut from its replicas")
+            self._promote(term, others, f"{primary} is cut off from its replicas")
 
     def _replace_primary(self) -> None:
-        # The primary may be the one whose first answer is still on its way.
+        # An instance that hasn't been polled yet may be the primary.
         if not self._watch.has_majority() or not self._watch.has_polled_all():
             return
         known_term = self._watch.highest_term()
-        if self._rival_is_at_work():
-            self._runtime.sleep_ms(self._runtime.random.uniform(*RIVAL_PAUSE_MS))
+        if self._is_other_promoting():
+            self._runtime.sleep_ms(self._runtime.random.uniform(*COMPETITOR_PAUSE_MS))
         else:
-            self._pause_after_failure()
-        moved_on = self._watch.highest_term() != known_term
-        if moved_on or self._watch.primary() is not None:
+            self._back_off_after_failure()
+        has_changed = self._watch.highest_term() != known_term
+        if has_changed or self._watch.primary() is not None:
             return
         self._promote(
             known_term + 1,
@@ -242,33 +250,33 @@
             "no primary answers",
         )
 
-    def _rival_is_at_work(self) -> bool:
-        """Return whether the instances stand at a term that has no primary yet."""
+    def _is_other_promoting(self) -> bool:
+        """Return whether the instances are at a term that has no primary yet."""
         term = self._watch.highest_term()
         states = list(self._watch.states.values())
         at_term = [state for state in states if state.term == term]
-        had_primary = any(state.role == "primary" for state in at_term)
-        logs_begun = any(state.log_term == term for state in at_term)
-        return not had_primary and not logs_begun
+        has_primary = any(state.role == "primary" for state in at_term)
+        has_entries = any(state.log_term == term for state in at_term)
+        return not has_primary and not has_entries
 
-    def _pause_after_failure(self) -> None:
+    def _back_off_after_failure(self) -> None:
         if self._failures:
-            step = min(self._failures, len(RETRY_PAUSE_MS)) - 1
-            spread = self._runtime.random.uniform(0.5, 1.5)
-            self._runtime.sleep_ms(RETRY_PAUSE_MS[step] * spread)
+            step = min(self._failures, len(RETRY_BACKOFF_MS)) - 1
+            jitter = self._runtime.random.uniform(0.5, 1.5)
+            self._runtime.sleep_ms(RETRY_BACKOFF_MS[step] * jitter)
 
     def _promote(self, term: int, endpoints: list[EndpointSpec], why: str) -> None:
         outcome = self._promoter.promote(self._watch.spec, term, endpoints)
         self._failures = 0 if outcome.primary else self._failures + 1
-        self._note_outcome(outcome, why)
+        self._report_outcome(outcome, why)
         if outcome.primary:
             self._watch.wait_primary(CALL_TIMEOUT_MS)
 
     def _list_reachable(self, spec: GroupSpec) -> list[EndpointSpec]:
         """Return the endpoints that answer; a frozen one would only cost time.
 
-        It is safe to leave some out: whoever isn't fenced now learns the new term
-        when it comes back, and can't gather a majority meanwhile.
+        It is safe to leave some out: an instance that isn't fenced learns the new term
+        when it is reachable again, and can't get a majority until then.
         """
         states = self._watch.states
         return [
@@ -277,14 +285,14 @@
             if endpoint.name in states and states[endpoint.name].reachable
         ]
 
-    def _redirect_strays(self, primary: str) -> None:
-        """Let instances that don't follow the primary follow it.
+    def _repoint_replicas(self, primary: str) -> None:
+        """Make instances that don't follow the primary follow it.
 
-        They came back after a failure with an older term, or the daemon that fenced
-        them died before it told them whom to follow.
+        They came back with an older term after a failure, or the daemon that fenced
+        them failed before it pointed them to the new primary.
         """
         now_ms = self._runtime.clock.now_ms()
-        if now_ms < self._redirect_at_ms:
+        if now_ms < self._repoint_at_ms:
             return
         states = self._watch.states
         term = self._watch.highest_term()
@@ -292,11 +300,11 @@
             state = states.get(endpoint.name)
             if state is None or not state.reachable or state.log_term >= term:
                 continue
-            self._redirect_at_ms = now_ms + REDIRECT_MS
+            self._repoint_at_ms = now_ms + REPOINT_INTERVAL_MS
             self._follow(endpoint, term, primary)
 
     def _follow(self, endpoint: EndpointSpec, term: int, primary: str) -> None:
-        addresses = {one.name: one.address for one in self._watch.spec.endpoints}
+        addresses = {spec.name: spec.address for spec in self._watch.spec.endpoints}
         address = addresses.get(primary)
         if address is None:
             return
@@ -307,23 +315,23 @@
             opened.ok.follow(term, str(address), CALL_TIMEOUT_MS)
             opened.ok.close()
 
-    def _move_off_leaving(self, primary: str) -> None:
-        """Change the primary on purpose when its endpoint is leaving.
+    def _switch_over_leaving(self, primary: str) -> None:
+        """Switch over to another primary if the present one's endpoint is leaving.
 
-        Writes wait meanwhile. Without that the leaving primary's log would always
-        be ahead of its replicas', and it would be chosen again.
+        Writes wait meanwhile. Otherwise the leaving primary's log would always be
+        ahead of its replicas' logs, and it would be promoted again.
         """
         spec = self._watch.spec
         leaving = {endpoint.name for endpoint in spec.endpoints if endpoint.leaving}
         if primary not in leaving or len(leaving) == len(spec.endpoints):
             return
-        self.holds_writes = True
+        self.writes_paused = True
         try:
             if self._wait_until_caught_up(primary, leaving):
                 term = self._watch.highest_term() + 1
                 self._promote(term, self._list_reachable(spec), f"{primary} is leaving")
         finally:
-            self.holds_writes = False
+            self.writes_paused = False
 
     def _wait_until_caught_up(self, primary: str, leaving: set[str]) -> bool:
         watch = self._watch
@@ -339,4 +347,6 @@
             return max(others, default=-1) >= end
 
         with watch.condition:
-            return self._runtime.wait_for(watch.condition, is_caught_up, CATCH_UP_MS)
+            return self._runtime.wait_for(
+                watch.condition, is_caught_up, CATCH_UP_TIMEOUT_MS
+            )
--- a/bronzerelay/instances.py
+++ b/bronzerelay/instances.py
@@ -6,7 +6,7 @@
 
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.dialect import EndpointError, EndpointLink
-from bronzerelay.failover import GroupKeeper
+from bronzerelay.failover import FailoverManager
 from bronzerelay.policies import Policy
 from bronzerelay.pool import ConnectionPool
 from bronzerelay.retries import RetryBudget
@@ -38,7 +38,7 @@
     """What a group is served with."""
 
     watch: GroupWatch
-    keeper: GroupKeeper
+    failover_manager: FailoverManager
     slots: SlotQueue
     pools: dict[str, ConnectionPool]
     budget: RetryBudget
@@ -80,7 +80,7 @@
         With `refuse_early` work that would get a slot too late is refused at once.
         """
         while self.left_ms(work) > 0:
-            if self._components.keeper.holds_writes:
+            if self._components.failover_manager.writes_paused:
                 self._runtime.sleep_ms(2)
                 continue
             found = self._components.watch.wait_primary(self.left_ms(work))
@@ -97,7 +97,7 @@
                 return refuse_unwanted()
             if (
                 self._components.watch.primary() == name
-                and not self._components.keeper.holds_writes
+                and not self._components.failover_manager.writes_paused
             ):
                 return Ok((name, term))
             self._components.slots.release(name)
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -39,7 +39,7 @@
         "bronzerelay/group.py",
         "            tries += 1\n",
         "",
-        "tests/test_group.py::test_a_busy_primary_is_asked_a_few_times_only",
+        "tests/test_group.py::test_a_write_to_a_busy_primary_is_retried_a_few_times_only",
     ),
     Mutation(
         "a write is acknowledged only when a majority holds it",
@@ -60,7 +60,7 @@
         "bronzerelay/failover.py",
         "needed = len(spec.endpoints) // 2 + 1",
         "needed = 1",
-        "tests/test_failover.py::test_a_daemon_that_was_beaten_to_the_majority_promotes_nothing",
+        "tests/test_failover.py::test_a_daemon_without_a_majority_of_fences_promotes_nothing",
     ),
     Mutation(
         "the instance with the longest log is promoted",
@@ -74,21 +74,21 @@
         "bronzerelay/failover.py",
         "return now_ms - self._since_ms > limit_ms",
         "return False",
-        "tests/test_failover.py::test_a_primary_cut_from_its_replicas_is_replaced",
+        "tests/test_failover.py::test_a_primary_cut_off_from_its_replicas_is_replaced",
     ),
     Mutation(
         "instances that follow nobody are pointed to the primary",
         "bronzerelay/failover.py",
         "self._follow(endpoint, term, primary)",
         "pass",
-        "tests/test_failover.py::test_a_promotion_that_ends_half_way_is_taken_up",
+        "tests/test_failover.py::test_an_interrupted_promotion_is_completed",
     ),
     Mutation(
         "writes wait while a leaving primary is replaced",
         "bronzerelay/failover.py",
         "if self._wait_until_caught_up(primary, leaving):",
         "if False:",
-        "tests/test_failover.py::test_a_leaving_primary_hands_over_without_a_refusal",
+        "tests/test_failover.py::test_a_switchover_from_a_leaving_primary_refuses_no_write",
     ),
     Mutation(
         "a write whose answer is lost is found out about, not sent again",
@@ -458,7 +458,7 @@
     Mutation(
         "a leaving primary is replaced",
         "bronzerelay/failover.py",
-        "                self._move_off_leaving(primary)",
+        "                self._switch_over_leaving(primary)",
         "                pass",
         "tests/test_promise_configuration.py::test_leaving_endpoints_get_no_new_work",
     ),
@@ -482,7 +482,7 @@
         "            for name in list(self._specs)\n"
         "            if self._is_first(name)\n",
         "            for name in kept\n",
-        "tests/test_group.py::test_a_group_is_shown_by_the_daemon_that_serves_it_and_by_no_stand_in",
+        "tests/test_group.py::test_a_group_is_listed_by_its_serving_daemon_and_by_no_standby",
     ),
     Mutation(
         "waking the queue takes no lock while no choice can change",
--- a/tests/builders_group.py
+++ b/tests/builders_group.py
@@ -1,4 +1,4 @@
-"""Builders of a served group: in-process endpoints with a daemon's group server."""
+"""Builders of a daemon's group server over in-process endpoints."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
 
 
 def make_group_spec(group: Group, leaving: tuple[str, ...] = ()) -> GroupSpec:
-    """Return the group as a configuration describes it."""
+    """Return the group's part of a configuration."""
     endpoints = tuple(
         EndpointSpec(name, server.address, "a", 3, 20, name in leaving)
         for name, server in group.servers.items()
@@ -39,7 +39,7 @@
     policy: str = "fair",
     open_link: Any = dialect.open_link,
 ) -> Groups:
-    """Return the groups of a daemon that sees nobody else, and so serves all."""
+    """Return the groups of a daemon that knows no other, and so serves all groups."""
     groups = Groups(
         runtime,
         GroupSettings(name, QUEUE_LIMIT, STATUS_WAIT_MS, STATEMENT_TIMEOUT_MS, policy),
@@ -53,7 +53,7 @@
 
 
 def make_server(runtime: Runtime, group: Group, name: str = "vm-1") -> GroupServer:
-    """Return the group's server at daemon `name`, with a primary in sight."""
+    """Return the group's server at daemon `name`, once it knows the primary."""
     server = make_groups(runtime, make_group_spec(group), name).find("orders")
     assert server.components.watch.wait_primary(DEADLINE_MS)
     return server
@@ -66,7 +66,7 @@
     deadline_ms: float = DEADLINE_MS,
     **request,
 ) -> Work:
-    """Return work on the group; its request id is unique."""
+    """Return work on the group with a unique request id."""
     request = {"group": "orders", "statement": statement or put("tray", 1), **request}
     request_id = runtime.random.randbytes(8).hex()
     end_ms = runtime.clock.now_ms() + deadline_ms
@@ -74,5 +74,5 @@
 
 
 def position_of(session: str) -> Position:
-    """Return where `session` stands in the group."""
+    """Return the position of `session` in the group."""
     return decode_session(session).ok["orders"]
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Tests of promotion: one primary at a time, and nothing acknowledged is lost."""
+"""Tests of promotions: one primary per term, and no acknowledged write is lost."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def write_until_acknowledged(runtime, server):
-    """Return the answer of the first write that is acknowledged, of ten tries."""
+    """Return the answer of the first acknowledged write, within ten tries."""
     for _ in range(10):
         result = server.write(make_work(runtime, add("count", 1)))
         if result.is_ok():
@@ -35,10 +35,10 @@
 
 
 def test_a_killed_primary_is_replaced_and_its_writes_are_kept(runtime, group):
-    """The primary's process dies just after it acknowledged writes.
+    """The primary's process is killed just after it acknowledged writes.
 
-    Replicas were behind or not; a caller that reads after the change of primary
-    would miss a refund that it was told had run.
+    Whether replicas were behind or not, a caller that reads after the failover must
+    see the writes that were acknowledged to it.
     """
     server = make_server(runtime, group)
     before = [write_until_acknowledged(runtime, server) for _ in range(5)]
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("slow", [False, True])
 def test_a_primary_whose_first_answer_is_slow_isnt_replaced(runtime, group, slow):
-    """Guards against a change of primary whenever a daemon begins to serve a group."""
+    """Guards against a failover whenever a daemon starts to serve a group."""
 
     def open_slowly(runtime, spec, caller, kind, timeout_ms):
         if slow and spec.name == "orders-1":
@@ -64,11 +64,11 @@
     assert (watch.primary(), watch.highest_term()) == ("orders-1", 1)
 
 
-def test_a_frozen_primary_that_thaws_acknowledges_nothing_more(runtime, group):
-    """The primary stops for a while and is replaced, then goes on where it was.
+def test_a_frozen_primary_that_thaws_acknowledges_no_more_writes(runtime, group):
+    """The primary freezes, is replaced, and later resumes where it was.
 
-    It still takes itself for the primary. Writes that wait in its buffers run on it;
-    a caller that got them acknowledged would see them vanish.
+    It still has the role of primary and runs the writes in its buffers. If these were
+    acknowledged, their callers would see them vanish.
     """
     server = make_server(runtime, group)
     write_until_acknowledged(runtime, server)
@@ -87,11 +87,11 @@
     )
 
 
-def test_a_primary_cut_from_its_replicas_is_replaced(runtime, group):
+def test_a_primary_cut_off_from_its_replicas_is_replaced(runtime, group):
     """The primary answers the daemon, but its replicas can't reach it.
 
-    It takes writes that no majority can ever hold. Without a replacement every
-    write of the group would wait for its deadline, for as long as the cut lasts.
+    It runs writes that no majority can ever hold. Unless it is replaced, every write of
+    the group waits until its deadline, for as long as the partition lasts.
     """
     server = make_server(runtime, group)
     first = write_until_acknowledged(runtime, server)
@@ -101,11 +101,11 @@
     assert answer["value"] == first["value"] + 1
 
 
-def test_a_primary_cut_from_the_daemon_is_replaced(runtime, group):
+def test_a_primary_cut_off_from_the_daemon_is_replaced(runtime, group):
     """The daemon can't reach the primary any more, but the replicas can.
 
-    The old primary still has followers until they are fenced; without the fence it
-    could go on acknowledging other daemons' writes beside the new one.
+    The old primary has followers until these are fenced. Without the fence, other
+    daemons' writes could still be acknowledged on it while there is a new primary.
     """
     server = make_server(runtime, group, "vm-9")
     write_until_acknowledged(runtime, server)
@@ -116,16 +116,20 @@
     if old.is_ok():
         position = old.ok.position
         others = [group.instance(name) for name in ("orders-2", "orders-3")]
-        held = [one for one in others if one.log_term == 1 and one.position >= position]
-        assert not held
+        holders = [
+            instance
+            for instance in others
+            if instance.log_term == 1 and instance.position >= position
+        ]
+        assert not holders
 
 
 @pytest.mark.parametrize("step", ["fenced", "promoted"])
-def test_a_promotion_that_ends_half_way_is_taken_up(runtime, group, step):
-    """The promoting daemon dies after the fence, or before it told the followers.
+def test_an_interrupted_promotion_is_completed(runtime, group, step):
+    """The promoting daemon fails after the fence, or before it pointed the replicas.
 
-    The group then has no primary, or one that nobody follows. The next daemon has to
-    go on from there, or the group takes no write until somebody looks.
+    The group then has no primary, or one without followers. The next daemon has to
+    complete the promotion, or the group acknowledges no write until an operator acts.
     """
     server = make_server(runtime, group, "vm-2")
     write_until_acknowledged(runtime, server)
@@ -140,11 +144,11 @@
         assert answer["served_by"] == best
 
 
-def test_of_two_daemons_with_one_term_at_most_one_promotes(runtime, group):
-    """Two daemons suspect the primary at the same moment and try the same term.
+def test_of_two_daemons_with_the_same_term_at_most_one_promotes(runtime, group):
+    """Two daemons suspect the primary at the same time and use the same term.
 
-    If both succeeded, two primaries would take writes at one term, and each caller
-    would see only half of the changes.
+    If both succeeded, two primaries would run writes at one term, and each caller
+    would see only some of them.
     """
     spec = make_group_spec(group)
 
@@ -165,11 +169,11 @@
     assert len(primaries(group)) <= 1
 
 
-def test_a_daemon_that_was_beaten_to_the_majority_promotes_nothing(runtime, group):
-    """Another daemon has fenced two instances at the same term a moment before.
+def test_a_daemon_without_a_majority_of_fences_promotes_nothing(runtime, group):
+    """Another daemon has just fenced two instances at the same term.
 
-    The last instance still accepts this daemon's fence. If one were enough, there
-    would soon be two primaries of one term.
+    The last instance still accepts this daemon's fence. If one fence were enough, there
+    would be two primaries of one term.
     """
     spec = make_group_spec(group)
     for name in ("orders-1", "orders-2"):
@@ -183,11 +187,11 @@
     assert not primaries(group)
 
 
-def test_without_a_majority_nothing_is_promoted(runtime, group):
-    """Two of the three instances are gone.
+def test_without_a_reachable_majority_nothing_is_promoted(runtime, group):
+    """Two of the three instances have failed.
 
     The last one may lack acknowledged writes that only the others hold; promoting it
-    would lose them without an error.
+    would lose them silently.
     """
     server = make_server(runtime, group)
     write_until_acknowledged(runtime, server)
@@ -199,11 +203,11 @@
     assert "orders-2" not in primaries(group)
 
 
-def test_the_new_primary_dies_at_once_and_the_old_one_is_back(runtime, group):
-    """The primary freezes, its successor dies, and the first one thaws.
+def test_the_new_primary_fails_at_once_and_the_old_one_thaws(runtime, group):
+    """The primary freezes, its successor is killed, and the first primary thaws.
 
-    The thawed one and the last replica are a majority; what the successor
-    acknowledged is in the replica's log and must survive.
+    The thawed instance and the last replica are a majority. The writes acknowledged on
+    the successor are in the replica's log and must be kept.
     """
     server = make_server(runtime, group)
     write_until_acknowledged(runtime, server)
@@ -215,11 +219,11 @@
     assert third["value"] == second["value"] + 1
 
 
-def test_a_leaving_primary_hands_over_without_a_refusal(runtime, group):
+def test_a_switchover_from_a_leaving_primary_refuses_no_write(runtime, group):
     """An operator marks the primary's endpoint as leaving while writes run.
 
-    Each write has to be acknowledged, before the change of primary or after it, and
-    the leaving endpoint must take no more of them.
+    Each write has to be acknowledged, before the switchover or after it, and no more of
+    them may run on the leaving endpoint.
     """
     groups = make_groups(runtime, make_group_spec(group))
     server = groups.find("orders")
@@ -239,10 +243,10 @@
 
 
 def test_a_write_that_only_the_primary_holds_is_not_acknowledged(runtime, group):
-    """The primary took a write, and both replicas are cut off before they have it.
+    """The primary ran a write, and both replicas are cut off before they have it.
 
-    If the primary dies then, nobody else has the change; a caller that was told it
-    had run would never see it again.
+    If the primary fails then, no other instance has the write. If it had been
+    acknowledged, its caller would never see it again.
     """
     server = make_server(runtime, group)
     for name in ("orders-2", "orders-3"):
@@ -254,10 +258,9 @@
 
 
 def test_the_replica_with_the_longest_log_is_promoted(runtime, group):
-    """One replica lags behind when the primary dies.
+    """One replica lags behind when the primary fails.
 
-    A write that the other one holds was acknowledged; promoting the lagging one
-    would lose it.
+    The other one holds acknowledged writes; promoting the lagging one would lose them.
     """
     server = make_server(runtime, group)
     write_until_acknowledged(runtime, server)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Tests of a group's writes at the daemon that serves it."""
+"""Tests of a group at its serving daemon and at standbys."""
 
 from bronzerelay.codes import NOT_RUN, Code
 from bronzerelay.retries import MAX_ATTEMPTS
@@ -9,11 +9,11 @@
 SERVICE_MS = 900
 
 
-def test_a_busy_primary_is_asked_a_few_times_only():
-    """Something beside the proxies holds the slots of the primary.
+def test_a_write_to_a_busy_primary_is_retried_a_few_times_only():
+    """Something other than the proxies occupies the slots of the primary.
 
-    Each write came back to ask every few milliseconds until its deadline, and the
-    instance had more refusals to write than statements to run.
+    Each write was retried every few milliseconds until its deadline, and the instance
+    sent more refusals than it ran statements.
     """
     with open_group(slots=1, service_ms=SERVICE_MS) as group:
         server = make_server(group.runtime, group)
@@ -31,12 +31,15 @@
         assert other.result().is_ok()
 
 
-def test_a_group_is_shown_by_the_daemon_that_serves_it_and_by_no_stand_in():
-    """Guards against taking a daemon that stood in for the one that serves a group."""
+def test_a_group_is_listed_by_its_serving_daemon_and_by_no_standby():
+    """Guards against a status in which a standby looks like the serving daemon."""
     with open_deployment(3) as deployment:
-        # Each daemon makes the group, as one does that stands in for another.
+        # Each daemon sets up the group, as a standby does.
         deployment.warm_up()
         serving, *others = deployment.ranked
-        shown = {node.name: list(node.groups.describe()) for node in deployment.nodes}
-        assert shown == {serving.name: ["orders"], **{one.name: [] for one in others}}
-        assert [one.groups.list_standby() for one in others] == [["orders"]] * 2
+        listed = {node.name: list(node.groups.describe()) for node in deployment.nodes}
+        assert listed == {
+            serving.name: ["orders"],
+            **{node.name: [] for node in others},
+        }
+        assert [node.groups.list_standby() for node in others] == [["orders"]] * 2
