--- a/bronzerelay/group.py
+++ b/bronzerelay/group.py
@@ -1,4 +1,4 @@
-"""One database group at the daemon that serves it: writes, and doubts about them."""
+"""One database group at the daemon that serves it: writes and their outcomes."""
 
 from typing import Any, NamedTuple
 
@@ -17,30 +17,30 @@
 SETTLE_PAUSE_MS = 20.0
 
 
-class Written(NamedTuple):
-    """A change that the primary has in its log, not yet known to be safe."""
+class LoggedWrite(NamedTuple):
+    """A write that is in the primary's log, but not yet known to be replicated."""
 
     value: Any
-    at: Position
+    position: Position
     duplicate: bool
     served_by: str
 
 
-class Settled(NamedTuple):
-    """What became of an attempt, as a majority holds it.
+class SettledAttempt(NamedTuple):
+    """The outcome of an attempt, as held by a majority.
 
-    `was_cancelled_before` says that it had been given up on earlier already.
+    `was_cancelled_before` is true if it had already been cancelled by an earlier call.
     """
 
     ran: bool
     was_cancelled_before: bool
     value: Any
-    at: Position
+    position: Position
     name: str
 
 
 class GroupServer:
-    """Runs statements on one group: picks instances, retries, settles doubts."""
+    """Runs statements on one group: selects instances, retries, settles lost writes."""
 
     def __init__(
         self,
@@ -66,38 +66,38 @@
         return self._instances.left_ms(work)
 
     def read(self, work: Work) -> Result[StatementAnswer, Refusal]:
-        """Run a read on a replica that has seen enough, or on the primary."""
+        """Run a read on a replica that is recent enough, or on the primary."""
         return self._reader.read(work)
 
     def write(self, work: Work) -> Result[StatementAnswer, Refusal]:
-        """Run a write once, and answer when a majority holds it."""
+        """Run a write at most once, and answer when a majority holds it."""
         attempt = 1
         tries = 1
         while True:
-            tried = self._try_write(work, attempt)
-            if tried.is_ok():
-                return self._finish_write(work, attempt, tried.ok)
-            error = tried.error
+            result = self._try_write(work, attempt)
+            if result.is_ok():
+                return self._finish_write(work, attempt, result.ok)
+            error = result.error
             if not isinstance(error, EndpointError):
-                return tried
+                return result
             if error.may_have_run:
                 return self.settle(work, attempt)
             if error.kind == "cancelled":
-                # Another daemon gave up this very request, frozen here meanwhile, and
-                # has told its caller "not run"; or an earlier request with the same
-                # idempotency key was given up on. The two can't be told apart, and
-                # under the next number a request given up on would run after all.
+                # Either another daemon cancelled this very request while this daemon
+                # was frozen, and answered "not run"; or an earlier request with the
+                # same idempotency key was cancelled. The two can't be distinguished,
+                # and under the next number a cancelled request would run after all.
                 return self.settle(work, attempt)
-            final = self._judge_refused(work, error, tries)
-            if final is not None:
-                return final
+            refusal = self._refuse_or_back_off(work, error, tries)
+            if refusal is not None:
+                return refusal
             tries += 1
 
     def _try_write(self, work: Work, attempt: int) -> Result:
-        found = self.acquire_primary(work)
-        if not found.is_ok():
-            return found
-        name, term = found.ok
+        acquired = self.acquire_primary(work)
+        if not acquired.is_ok():
+            return acquired
+        name, term = acquired.ok
         timeout_ms = self._instances.timeout_ms(work)
         result = self._instances.run_at(
             name,
@@ -112,17 +112,17 @@
         if not result.is_ok():
             return result
         answer = result.ok
-        # A duplicate may stand in the log since an older term. It is safe once a
-        # majority holds that place in the log of the present term.
-        at = Position(term, answer.position)
-        return Ok(Written(answer.value, at, answer.duplicate, name))
+        # A duplicate may have been in the log since an older term. It is safe once a
+        # majority holds its position in the log of the present term.
+        position = Position(term, answer.position)
+        return Ok(LoggedWrite(answer.value, position, answer.duplicate, name))
 
-    def _judge_refused(
+    def _refuse_or_back_off(
         self, work: Work, error: EndpointError, tries: int
     ) -> Result | None:
-        """Return the final refusal of a write that didn't run, or None to retry.
+        """Return the refusal of a write that didn't run, or back off and return None.
 
-        What certainly didn't run is sent again under the same attempt's number.
+        A write that certainly didn't run is retried under the same attempt number.
         """
         if error.kind in ("invalid_statement", "conflict"):
             return refuse(Code.STATEMENT_FAILED, error.message)
@@ -140,32 +140,35 @@
         return self._instances.acquire_primary(work, refuse_early)
 
     def _finish_write(
-        self, work: Work, attempt: int, written: Written
+        self, work: Work, attempt: int, written: LoggedWrite
     ) -> Result[StatementAnswer, Refusal]:
-        if self.wait_acknowledged(work, written.at):
-            session = advance_session(work.session, work.group, written.at)
+        if self.wait_acknowledged(work, written.position):
+            session = advance_session(work.session, work.group, written.position)
             answer = self._instances.make_answer(
                 written.served_by, session, written.value
             )
             answer["duplicate"] = written.duplicate
             return Ok(answer)
-        # The primary was replaced, or the replicas are too far behind.
+        # The primary was replaced, or the replicas lag too far behind.
         return self.settle(work, attempt)
 
-    def wait_acknowledged(self, work: Work, at: Position) -> bool:
-        """Return whether a change at this place is safe, waiting until it is."""
+    def wait_acknowledged(self, work: Work, position: Position) -> bool:
+        """Wait until the write at this position may be acknowledged.
+
+        Return whether it may be, within the work's deadline.
+        """
         wait_acknowledged = self.components.policy.wait_acknowledged
-        return wait_acknowledged(self._watch, at, self.left_ms(work))
+        return wait_acknowledged(self._watch, position, self.left_ms(work))
 
-    # Doubts
+    # Unknown outcomes
 
     def settle(self, work: Work, attempt: int) -> Result[StatementAnswer, Refusal]:
-        """Find out what became of a write that may have run; never send it again.
+        """Determine the outcome of a write that may have run; never send it again.
 
         The primary either has the attempt in its log, or records it as cancelled,
         after which it can't run any more. Both count only once a majority holds them.
-        Whoever records an attempt as cancelled, and nobody else, may send the next
-        one: any other daemon that did could do so after the caller heard "not run".
+        Only the daemon that cancelled an attempt may send the next one: another daemon
+        could send it after the caller was answered "not run".
         """
         self._metrics.count_retry("settle")
         first = attempt
@@ -174,24 +177,24 @@
             if settled is None:
                 self._runtime.sleep_ms(min(SETTLE_PAUSE_MS, self.left_ms(work)))
             elif settled.ran:
-                session = advance_session(work.session, work.group, settled.at)
+                session = advance_session(work.session, work.group, settled.position)
                 return Ok(
                     self._instances.make_answer(settled.name, session, settled.value)
                 )
             elif settled.was_cancelled_before:
-                # Whoever gave this attempt up may have sent the next one since.
+                # The daemon that cancelled this attempt may have sent the next one.
                 attempt += 1
             else:
                 return self._give_up_attempt(work, attempt, attempt == first)
         message = "The answer was lost, and the outcome can't be told in time."
         return refuse(Code.OUTCOME_UNKNOWN, message, NO_PRIMARY_RETRY_MS, UNKNOWN)
 
-    def _try_settle(self, work: Work, attempt: int) -> Settled | None:
-        # A refusal would only be followed by the next try.
-        found = self.acquire_primary(work, refuse_early=False)
-        if not found.is_ok():
+    def _try_settle(self, work: Work, attempt: int) -> SettledAttempt | None:
+        # An early refusal would be of no use, as the settle call is retried anyway.
+        acquired = self.acquire_primary(work, refuse_early=False)
+        if not acquired.is_ok():
             return None
-        name, term = found.ok
+        name, term = acquired.ok
         timeout_ms = min(SETTLE_TIMEOUT_MS, max(1.0, self.left_ms(work)))
         result = self._instances.run_at(
             name, lambda link: link.settle(term, work.write_id(attempt), timeout_ms)
@@ -199,17 +202,20 @@
         if not result.is_ok():
             return None
         answer = result.ok
-        at = Position(term, answer.position)
-        if not self._watch.wait_majority(at, self.left_ms(work)):
+        position = Position(term, answer.position)
+        if not self._watch.wait_majority(position, self.left_ms(work)):
             return None
-        return Settled(
-            answer.outcome == "ran", answer.duplicate, answer.value, at, name
+        return SettledAttempt(
+            answer.outcome == "ran", answer.duplicate, answer.value, position, name
         )
 
     def _give_up_attempt(
         self, work: Work, attempt: int, may_repeat: bool
     ) -> Result[StatementAnswer, Refusal]:
-        """Repeat the write if it may be, or refuse it; no attempt can run any more."""
+        """Repeat a cancelled write if that is allowed, or refuse it.
+
+        None of the attempts so far can run any more.
+        """
         repeatable = may_repeat and work.request.get("repeatable")
         if repeatable and self.components.budget.allow(attempt):
             return self._repeat(work, attempt + 1)
@@ -220,12 +226,12 @@
         return refuse(Code.PRIMARY_REPLACED, message, 1, NOT_RUN)
 
     def _repeat(self, work: Work, attempt: int) -> Result:
-        """Send a repeatable write again, after its last attempt was cancelled."""
+        """Send a repeatable write again after its last attempt was cancelled."""
         self._metrics.count_retry("repeat_after_cancel")
-        tried = self._try_write(work, attempt)
-        if tried.is_ok():
-            return self._finish_write(work, attempt, tried.ok)
-        if isinstance(tried.error, EndpointError) and tried.error.may_have_run:
+        result = self._try_write(work, attempt)
+        if result.is_ok():
+            return self._finish_write(work, attempt, result.ok)
+        if isinstance(result.error, EndpointError) and result.error.may_have_run:
             return self.settle(work, attempt)
-        # The attempt was refused for certain, and nobody else may send a later one.
+        # The attempt certainly didn't run, and no other daemon may send a later one.
         return self._give_up_attempt(work, attempt, may_repeat=False)
--- a/bronzerelay/instances.py
+++ b/bronzerelay/instances.py
@@ -1,4 +1,4 @@
-"""Calls at a group's instances, each with a slot and a pooled link."""
+"""Calls to a group's instances, each with a slot and a pooled link."""
 
 from typing import Any, NamedTuple
 
@@ -20,22 +20,22 @@
 LEND_TIMEOUT_MS = 300
 # How long a caller is told to wait when a group has no primary.
 NO_PRIMARY_RETRY_MS = 300
-# How many times as long as a slot is usually held a write is left to run and to be
-# acknowledged.
+# The time reserved for a write to run and be acknowledged, as a multiple of the average
+# time for which a slot is held.
 START_MARGIN = 3
 
 
-def refuse_unwanted() -> Result:
-    """Return the refusal of work whose asker has hung up while it waited.
+def refuse_abandoned() -> Result:
+    """Return the refusal of work whose sender closed its connection meanwhile.
 
-    The asker lets another daemon find out what became of it. Run all the same, what a
-    daemon had in hand when its peers took it for silent would use up the slots.
+    The sender lets another daemon determine the outcome. If such work were run anyway,
+    the requests queued at a daemon that its peers consider silent would use up slots.
     """
     return refuse(Code.PEER_UNREACHABLE, "The daemon that asked has hung up.")
 
 
 class GroupComponents(NamedTuple):
-    """What a group is served with."""
+    """The components that serve one group."""
 
     watch: GroupWatch
     failover_manager: FailoverManager
@@ -46,7 +46,7 @@
 
 
 class Instances:
-    """The instances of one group, as reads and writes call them."""
+    """Calls to the instances of one group, for reads and writes."""
 
     def __init__(self, runtime: Runtime, components: GroupComponents, timeout_ms: int):
         self._runtime = runtime
@@ -54,11 +54,11 @@
         self._timeout_ms = timeout_ms
 
     def latest_start_ms(self, work: Work) -> float:
-        """Return until when it is of use to wait for a slot.
+        """Return the time until which it is useful to wait for a slot.
 
-        A write that begins with no time left is broken off while it runs: its outcome
-        is unknown, the endpoint's slot is taken still when the next one comes, and
-        under load most of the slots' time goes into such writes.
+        A write that starts with too little time left times out while it runs: its
+        outcome is unknown, it still occupies the endpoint's slot when the next one
+        starts, and under load most of the slots' time is spent on such writes.
         """
         left_ms = self.left_ms(work)
         needed_ms = min(START_MARGIN * self._components.slots.hold_ms, left_ms / 2)
@@ -75,18 +75,18 @@
     def acquire_primary(
         self, work: Work, refuse_early: bool = True
     ) -> Result[tuple[str, int], Refusal]:
-        """Return the primary and its term, with one of its slots taken.
+        """Acquire a slot of the primary; return the primary's name and its term.
 
-        With `refuse_early` work that would get a slot too late is refused at once.
+        With `refuse_early` work that would get its slot too late is refused at once.
         """
         while self.left_ms(work) > 0:
             if self._components.failover_manager.writes_paused:
                 self._runtime.sleep_ms(2)
                 continue
-            found = self._components.watch.wait_primary(self.left_ms(work))
-            if found is None:
+            primary = self._components.watch.wait_primary(self.left_ms(work))
+            if primary is None:
                 break
-            name, term = found
+            name, term = primary
             slot = self._components.slots.acquire(
                 work.workspace, (name,), self.latest_start_ms(work), refuse_early
             )
@@ -94,7 +94,7 @@
                 return slot
             if not work.is_wanted():
                 self._components.slots.release(name)
-                return refuse_unwanted()
+                return refuse_abandoned()
             if (
                 self._components.watch.primary() == name
                 and not self._components.failover_manager.writes_paused
@@ -108,7 +108,10 @@
         return refuse(Code.NO_PRIMARY, message, NO_PRIMARY_RETRY_MS)
 
     def run_at(self, name: str, call: Any) -> Result:
-        """Run `call` on a pooled link to `name`, whose slot is held, and free both."""
+        """Run `call` on a pooled link to `name`, then release the link and the slot.
+
+        The caller has acquired the slot.
+        """
         try:
             pool = self._components.pools.get(name)
             if pool is None:
@@ -128,7 +131,7 @@
             pool.give_back(link)
 
     def make_answer(self, name: str, session: Session, value: Any) -> StatementAnswer:
-        """Return the answer of what `name` has run."""
+        """Return the answer to a statement that ran on instance `name`."""
         state = self._components.watch.states.get(name)
         return {
             "value": value,
--- a/bronzerelay/reads.py
+++ b/bronzerelay/reads.py
@@ -1,4 +1,4 @@
-"""Reads of one group: from replicas that have seen enough, or from the primary."""
+"""Reads of one group: from replicas that are recent enough, or from the primary."""
 
 from typing import Any
 
@@ -6,17 +6,18 @@
 
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.dialect import EndpointError
-from bronzerelay.instances import GroupComponents, Instances, refuse_unwanted
+from bronzerelay.instances import GroupComponents, Instances, refuse_abandoned
 from bronzerelay.runtime import Runtime
 from bronzerelay.sessions import advance_session
 from bronzerelay.types import Position, StatementAnswer
 from bronzerelay.watch import NO_MAJORITY_WAIT_MS, PRIMARY
 from bronzerelay.work import Work
 
-# A read waits this long for a replica that has what it needs, then the primary may
-# serve it too.
+# How long a read waits for a replica that is recent enough. After that the primary may
+# serve it, too.
 REPLICA_WAIT_MS = 25
-# What a replica holds its primary holds too, and that is a majority of up to three.
+# What a replica holds, its primary holds as well: two instances, which are a majority
+# of up to three.
 REPLICA_MAJORITY = 2
 # How long a caller is told to wait when no instance can serve the read.
 READ_RETRY_MS = 300
@@ -39,7 +40,7 @@
         self._metrics = metrics
 
     def read(self, work: Work) -> Result[StatementAnswer, Refusal]:
-        """Run a read on a replica that has seen enough, or on the primary."""
+        """Run a read on a replica that is recent enough, or on the primary."""
         need = work.session.get(work.group, Position(0, 0))
         attempt = 1
         while True:
@@ -56,13 +57,13 @@
             attempt += 1
 
     def _try_read(self, work: Work, need: Position) -> Result:
-        chosen = self._choose_reader(work, need)
-        if not chosen.is_ok():
-            return chosen
-        name = chosen.ok
+        acquired = self._acquire_slot(work, need)
+        if not acquired.is_ok():
+            return acquired
+        name = acquired.ok
         if not work.is_wanted():
             self._components.slots.release(name)
-            return refuse_unwanted()
+            return refuse_abandoned()
         started_ms = self._runtime.clock.now_ms()
         timeout_ms = self._instances.timeout_ms(work)
         result = self._instances.run_at(
@@ -88,18 +89,18 @@
         seen: Position,
         started_ms: float,
     ) -> Result:
-        """Return Ok when what was read at `seen` may be shown to the caller."""
+        """Return Ok if the value read at position `seen` may be returned."""
         if seen < need:
-            # The instance was put back between its last report and this read, as
-            # a former primary is when it drops what nobody acknowledged.
+            # The instance was rewound between its last report and this read, as a
+            # former primary is to drop the writes that weren't acknowledged.
             return Error(EndpointError("behind", f"{name} is behind the session"))
         by_primary = name == self._watch.primary()
-        # What only a minority holds is gone when the primary fails now, and the
-        # session would miss what it has seen.
-        in_doubt = by_primary or self._watch.majority_size() > REPLICA_MAJORITY
+        # Data that only a minority holds would be lost if the primary failed now, and
+        # the session would no longer see what it has seen.
+        may_be_lost = by_primary or self._watch.majority_size() > REPLICA_MAJORITY
         wait_ms = self._proof_wait_ms(work)
         policy = self._components.policy
-        if in_doubt and not policy.wait_acknowledged(self._watch, seen, wait_ms):
+        if may_be_lost and not policy.wait_acknowledged(self._watch, seen, wait_ms):
             return self._refuse_unproven(work, f"{name} holds what may be lost")
         since_ms = started_ms - self._max_age_ms(work)
         wait_ms = self._proof_wait_ms(work) if by_primary else 0
@@ -108,14 +109,14 @@
         return self._refuse_unproven(work, f"the age of {name} can't be proved")
 
     def _proof_wait_ms(self, work: Work) -> float:
-        """Return how long to wait for a proof: not for long where none can come."""
+        """Return how long to wait for a proof; briefly if no majority is reachable."""
         left_ms = self._instances.left_ms(work)
         return (
             left_ms if self._watch.has_majority() else min(left_ms, NO_MAJORITY_WAIT_MS)
         )
 
     def _refuse_unproven(self, work: Work, why: str) -> Result:
-        """Return the refusal of a read in vain, or the error that lets it retry."""
+        """Return an error that leads to a retry, or a refusal if a retry is useless."""
         if self._instances.left_ms(work) > 0 and self._watch.has_majority():
             return Error(EndpointError("unproven", why))
         message = f"No endpoint could prove how old its data is: {why}."
@@ -124,46 +125,52 @@
     def _max_age_ms(self, work: Work) -> float:
         return work.request.get("max_age_ms", self._watch.spec.max_age_ms)
 
-    def _choose_reader(self, work: Work, need: Position) -> Result[str, Refusal]:
+    def _acquire_slot(self, work: Work, need: Position) -> Result[str, Refusal]:
         max_age_ms = self._max_age_ms(work)
         short_ms = min(work.deadline_ms, self._runtime.clock.now_ms() + REPLICA_WAIT_MS)
 
-        def choose_replica(free: list[str]) -> str | None:
-            return self._pick(free, need, max_age_ms, with_primary=False)
+        def select_replica(free: list[str]) -> str | None:
+            return self._select_instance(free, need, max_age_ms, with_primary=False)
 
-        def choose_any(free: list[str]) -> str | None:
-            return self._pick(free, need, max_age_ms, with_primary=True)
+        def select_any(free: list[str]) -> str | None:
+            return self._select_instance(free, need, max_age_ms, with_primary=True)
 
-        if self._has_fit_replica(need, max_age_ms, short_ms):
-            found = self._components.slots.acquire(
-                work.workspace, choose_replica, short_ms
+        if self._wait_for_replica(need, max_age_ms, short_ms):
+            result = self._components.slots.acquire(
+                work.workspace, select_replica, short_ms
             )
-            if found.is_ok() or found.error.code == Code.QUEUE_FULL:
-                return found
+            if result.is_ok() or result.error.code == Code.QUEUE_FULL:
+                return result
         until_ms = self._instances.latest_start_ms(work)
-        return self._components.slots.acquire(work.workspace, choose_any, until_ms)
+        return self._components.slots.acquire(work.workspace, select_any, until_ms)
 
-    def _has_fit_replica(
+    def _wait_for_replica(
         self, need: Position, max_age_ms: float, until_ms: float
     ) -> bool:
         if not self._components.policy.list_replicas(list(self._watch.states)):
             return False
 
-        def has_one() -> bool:
+        def has_replica() -> bool:
             names = list(self._watch.states)
-            return self._pick(names, need, max_age_ms, with_primary=False) is not None
+            return (
+                self._select_instance(names, need, max_age_ms, with_primary=False)
+                is not None
+            )
 
         with self._watch.condition:
             left_ms = until_ms - self._runtime.clock.now_ms()
-            return self._runtime.wait_for(self._watch.condition, has_one, left_ms)
+            return self._runtime.wait_for(self._watch.condition, has_replica, left_ms)
 
-    def _pick(
+    def _select_instance(
         self, free: list[str], need: Position, max_age_ms: float, with_primary: bool
     ) -> str | None:
-        """Return a random one of the `free` instances that may serve the read."""
+        """Return one of the `free` instances that may serve the read, or None.
+
+        That is a random replica, or if none is usable the primary.
+        """
         primary = self._watch.primary()
-        leaving = {one.name for one in self._watch.spec.endpoints if one.leaving}
-        fit = []
+        leaving = {spec.name for spec in self._watch.spec.endpoints if spec.leaving}
+        usable = []
         for name in self._components.policy.list_replicas(free):
             state = self._watch.states.get(name)
             if state is None or not state.reachable or name in leaving:
@@ -173,9 +180,9 @@
             if state.role == PRIMARY or not state.holds(need):
                 continue
             if self._watch.proven_age_ms(name) <= max_age_ms:
-                fit.append(name)
-        if fit:
-            return self._runtime.random.choice(fit)
+                usable.append(name)
+        if usable:
+            return self._runtime.random.choice(usable)
         if with_primary and primary in free:
             return primary
         return None
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -44,7 +44,7 @@
     Mutation(
         "a write is acknowledged only when a majority holds it",
         "bronzerelay/group.py",
-        "if self.wait_acknowledged(work, written.at):",
+        "if self.wait_acknowledged(work, written.position):",
         "if True:",
         "tests/test_failover.py::test_a_write_that_only_the_primary_holds_is_not_acknowledged",
     ),
@@ -114,7 +114,7 @@
     Mutation(
         "a write counts as given up on only when a majority holds that",
         "bronzerelay/group.py",
-        "if not self._watch.wait_majority(at, self.left_ms(work)):",
+        "if not self._watch.wait_majority(position, self.left_ms(work)):",
         "if False:",
         "tests/test_promise_once.py::test_giving_up_needs_a_majority",
     ),
@@ -163,7 +163,7 @@
     Mutation(
         "what only the primary holds is not shown",
         "bronzerelay/reads.py",
-        "if in_doubt and not policy.wait_acknowledged(self._watch, seen, wait_ms):",
+        "if may_be_lost and not policy.wait_acknowledged(self._watch, seen, wait_ms):",
         "if False:",
         "tests/test_promise_sessions.py::test_nothing_seen_is_unseen",
     ),
@@ -226,8 +226,8 @@
     Mutation(
         "a link inside a transaction is not lent again",
         "bronzerelay/pool.py",
-        "sound = not link.in_transaction and link.is_usable()",
-        "sound = link.is_usable()",
+        "reusable = not link.in_transaction and link.is_usable()",
+        "reusable = link.is_usable()",
         "tests/test_promise_transactions.py::test_transaction_on_former_primary",
     ),
     Mutation(
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool of links."""
+"""Tests of the connection pool."""
 
 from expression import Error, Ok
 
@@ -38,8 +38,8 @@
 
 
 def test_a_link_in_doubt_or_in_a_transaction_is_not_lent_again():
-    """A link comes back closed, or with a transaction open. Lent again, the next
-    caller's statements would fail or land in somebody else's transaction.
+    """A link is given back closed, or with an open transaction. If it were lent again,
+    the next caller's statements would fail or run in somebody else's transaction.
     """
     with open_runtime() as runtime:
         pool = make_pool(runtime, 1, opened := [])
@@ -48,15 +48,15 @@
         pool.lend(T).ok.in_transaction = True
         pool.give_back(opened[1])
         assert opened[1].closed
-        sound = pool.lend(T).ok
-        pool.give_back(sound)
-        assert pool.lend(T).ok is sound is opened[2]
+        reusable = pool.lend(T).ok
+        pool.give_back(reusable)
+        assert pool.lend(T).ok is reusable is opened[2]
         assert pool.open_count == 1
 
 
-def test_a_link_that_died_while_idle_is_replaced():
-    """The endpoint ended an idle link. Found out at lending, it costs the caller
-    nothing; found out after sending, the outcome would be unknown.
+def test_a_link_lost_while_idle_is_replaced():
+    """The endpoint closed an idle link. Detected when it is lent, that has no effect on
+    the caller; detected after sending, the outcome would be unknown.
     """
     with open_runtime() as runtime:
         listener = runtime.listen(Address("127.0.0.1", 0))
@@ -81,9 +81,9 @@
         assert pool.open_count == 1
 
 
-def test_a_borrower_waits_for_a_link_and_is_told_when_none_comes():
-    """All links are lent. A borrower waits for one that comes back, and past the
-    timeout learns that nothing was sent.
+def test_a_borrower_waits_for_a_link_and_fails_at_the_timeout():
+    """All links are lent. A borrower waits for one to be given back; at its timeout it
+    gets an error that says that nothing was sent.
     """
     with open_runtime() as runtime:
         pool = make_pool(runtime, 1, opened := [])
@@ -96,9 +96,9 @@
         assert len(opened) == 1
 
 
-def test_a_link_that_could_not_be_opened_leaves_its_place():
-    """The endpoint is away for a while. Failed attempts must not use up the
-    pool, or it would stay empty after the endpoint is back.
+def test_a_link_that_could_not_be_opened_does_not_count():
+    """The endpoint is unreachable for a while. Failed attempts to connect must not count
+    against the limit, or the pool would stay exhausted once the endpoint is back.
     """
     with open_runtime() as runtime:
         failure = Error(dialect.EndpointError(dialect.UNREACHABLE, "away"))
@@ -111,8 +111,8 @@
 
 
 def test_no_more_links_than_the_limit_are_ever_open():
-    """Many tasks borrow at once while links keep failing. One link above the
-    limit would be taken from another daemon's part.
+    """Many tasks borrow at once while links keep failing. Links above the limit would
+    use up another daemon's share of the endpoint's connections.
     """
     with open_runtime() as runtime:
         pool = make_pool(runtime, 3, opened := [])
@@ -132,8 +132,8 @@
 
 
 def test_a_closed_pool_lends_nothing_and_closes_what_comes_back():
-    """An endpoint leaves the configuration while links are lent. Work on them
-    ends first, then every link is closed.
+    """An endpoint is removed from the configuration while links are lent. The work on
+    them may end, then every link is closed.
     """
     with open_runtime() as runtime:
         pool = make_pool(runtime, 2, opened := [])
