--- a/bronzerelay/dialect.py
+++ b/bronzerelay/dialect.py
@@ -1,4 +1,4 @@
-"""The dialect of the endpoints: one JSON object a line, over TCP."""
+"""The endpoints' protocol, called dialect: one JSON object per line, over TCP."""
 
 from collections.abc import Callable
 from typing import Any, Literal, NamedTuple, Required, TypedDict, TypeVar
@@ -11,20 +11,20 @@
 from bronzerelay.runtime import Connection, Runtime
 from bronzerelay.types import EndpointSpec, Statement
 
-ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
-# Kinds of error that the client itself finds; the others are the endpoint's words.
+# Kinds of errors detected by this client; all other kinds are sent by the endpoint.
 UNREACHABLE = "unreachable"  # nothing was sent
 LOST = "lost"  # the request may have run; the link is closed
 
-# What a commit can be answered that leaves no transaction on the link.
-ENDED_BY_COMMIT = frozenset(
+# Kinds of errors of a commit after which no transaction is open on the link.
+TRANSACTION_ENDING_ERRORS = frozenset(
     ["conflict", "cancelled", "no_transaction", "stale_term", "not_primary"]
 )
 
 
 class EndpointError(NamedTuple):
-    """Why an endpoint gave no result; `term` is the one it names, if any."""
+    """Why an endpoint gave no result; `term` is the term in its answer, if any."""
 
     kind: str
     message: str
@@ -33,7 +33,7 @@
 
 
 class StatusAnswer(NamedTuple):
-    """Where an instance stands."""
+    """An instance's term, its role and the end of its log."""
 
     term: int
     role: Literal["primary", "replica"]
@@ -42,7 +42,7 @@
 
 
 class FenceAnswer(NamedTuple):
-    """The end of the log of an instance that accepted a fence."""
+    """The end of the log of an instance that accepted the term."""
 
     term: int
     log_term: int
@@ -57,13 +57,13 @@
 
 
 class FollowAnswer(NamedTuple):
-    """The term under which the instance follows."""
+    """The term at which the instance follows the primary."""
 
     term: int
 
 
 class ReadAnswer(NamedTuple):
-    """A row's value, and the end of the log that it was read at."""
+    """A row's value, and the end of the log when it was read."""
 
     value: Any
     log_term: int
@@ -71,7 +71,7 @@
 
 
 class WriteAnswer(NamedTuple):
-    """A write's result, and the end of the log that holds it."""
+    """A write's result, and the end of the log that contains the write."""
 
     value: Any
     log_term: int
@@ -80,9 +80,9 @@
 
 
 class SettleAnswer(NamedTuple):
-    """Whether a request ran; a cancelled one never will.
+    """Whether a request ran; a cancelled one will never run.
 
-    `duplicate` says that the outcome stood in the log before this call.
+    `duplicate` is true if the outcome was in the log before this call.
     """
 
     outcome: Literal["ran", "cancelled"]
@@ -97,7 +97,7 @@
 
 
 class CommitAnswer(NamedTuple):
-    """The end of the log that holds the transaction."""
+    """The end of the log that contains the transaction."""
 
     log_term: int
     position: int
@@ -105,11 +105,11 @@
 
 
 class RollbackAnswer(NamedTuple):
-    """No transaction is open any more."""
+    """The transaction is rolled back."""
 
 
 class WireAnswer(TypedDict, total=False):
-    """Any answer, as it comes over the wire."""
+    """Any answer, as it is received."""
 
     id: Required[int]
     ok: Required[bool]
@@ -136,11 +136,11 @@
 
 
 class EndpointLink:
-    """A connection to an endpoint; one task at a time may use it.
+    """A connection to an endpoint that speaks its protocol, for one task at a time.
 
-    A link in doubt is closed and never read again. Otherwise an answer that comes
-    after its timeout, or one that belongs to another request, would be handed to
-    the next caller as the answer to theirs.
+    A link whose state is in doubt is closed and never read again. Otherwise a late
+    answer, or one that belongs to another request, would be returned to the next caller
+    as the answer to theirs.
     """
 
     def __init__(self, runtime: Runtime, connection: Connection):
@@ -150,29 +150,26 @@
         self._clock = runtime.clock
         self._connection = connection
         self._last_id = 0
-        # An answer to an earlier request came once more.
-        self._in_doubt = False
+        # Whether an earlier request was answered a second time.
+        self._got_repeated_answer = False
 
     def close(self) -> None:
-        """Close the connection; the endpoint ends its transaction."""
+        """Close the connection; the endpoint rolls back an open transaction."""
         self.closed = True
         self._connection.close()
 
     def is_usable(self) -> bool:
-        """Return whether the link is open and nothing unasked for has arrived."""
+        """Return whether the link is open and no unexpected bytes have arrived."""
         if not self.closed and not self._connection.is_quiet():
             self.close()
         return not self.closed
 
-    # For monitors
+    # Operations of monitor links
 
     def status(
         self, known_term: int, known_position: int, wait_ms: float, timeout_ms: float
     ) -> Result[StatusAnswer, EndpointError]:
-        """Return the status once it differs from the known one or `wait_ms` passed.
-
-        With `wait_ms` 0 it is returned at once.
-        """
+        """Return the status once it differs from the known one or after `wait_ms`."""
         fields = {
             "op": "status",
             "known_term": known_term,
@@ -182,28 +179,28 @@
         return self._call(fields, timeout_ms, StatusAnswer)
 
     def fence(self, term: int, timeout_ms: float) -> Result[FenceAnswer, EndpointError]:
-        """Let the instance accept a greater term and nothing below it."""
+        """Make the instance accept a higher term and reject lower ones."""
         return self._call({"op": "fence", "term": term}, timeout_ms, FenceAnswer)
 
     def promote(
         self, term: int, timeout_ms: float
     ) -> Result[PromoteAnswer, EndpointError]:
-        """Make the instance primary of the term that it has accepted."""
+        """Make the instance the primary of the term that it has accepted."""
         return self._call({"op": "promote", "term": term}, timeout_ms, PromoteAnswer)
 
     def follow(
         self, term: int, primary: str, timeout_ms: float
     ) -> Result[FollowAnswer, EndpointError]:
-        """Let the instance follow the primary at `primary`, as HOST:PORT."""
+        """Make the instance follow the primary at address `primary`, as HOST:PORT."""
         fields = {"op": "follow", "term": term, "primary": primary}
         return self._call(fields, timeout_ms, FollowAnswer)
 
-    # For work
+    # Operations of work links
 
     def read(
         self, workspace: str, statement: Statement, timeout_ms: float
     ) -> Result[ReadAnswer, EndpointError]:
-        """Run a reading statement."""
+        """Run a statement that reads."""
         fields = {"op": "read", "workspace": workspace, "statement": statement}
         return self._call(fields, timeout_ms, ReadAnswer)
 
@@ -215,7 +212,7 @@
         request_id: str,
         timeout_ms: float,
     ) -> Result[WriteAnswer, EndpointError]:
-        """Run a writing statement, once for each `request_id`."""
+        """Run a statement that writes, once for each `request_id`."""
         fields = {
             "op": "write",
             "workspace": workspace,
@@ -228,7 +225,7 @@
     def settle(
         self, term: int, request_id: str, timeout_ms: float
     ) -> Result[SettleAnswer, EndpointError]:
-        """Find out whether a request ran, and else see that it never will."""
+        """Determine whether a request ran; if it didn't, cancel it for good."""
         fields = {"op": "settle", "term": term, "request_id": request_id}
         return self._call(fields, timeout_ms, SettleAnswer)
 
@@ -244,27 +241,27 @@
     def commit(
         self, term: int, request_id: str, timeout_ms: float
     ) -> Result[CommitAnswer, EndpointError]:
-        """Commit the transaction; any refusal but `busy` ends it too."""
+        """Commit; any error that the endpoint sends except `busy` ends it as well."""
         fields = {"op": "commit", "term": term, "request_id": request_id}
         result = self._call(fields, timeout_ms, CommitAnswer)
-        if result.is_ok() or result.error.kind in ENDED_BY_COMMIT:
+        if result.is_ok() or result.error.kind in TRANSACTION_ENDING_ERRORS:
             self.in_transaction = False
         return result
 
     def rollback(self, timeout_ms: float) -> Result[RollbackAnswer, EndpointError]:
-        """Give the transaction up."""
+        """Roll the transaction back."""
         result = self._call({"op": "rollback"}, timeout_ms, RollbackAnswer)
         self.in_transaction = self.in_transaction and result.is_error()
         return result
 
-    # One question and its answer
+    # One request and its answer
 
-    def greet(
+    def shake_hands(
         self, caller: str, kind: str, timeout_ms: float
     ) -> Result[None, EndpointError]:
-        """Say hello as `caller`; the link is closed when that fails."""
+        """Do the handshake as `caller`; close the link if that fails."""
         fields = {"op": "hello", "caller": caller, "kind": kind}
-        answer = self._ask(fields, timeout_ms)
+        answer = self._request(fields, timeout_ms)
         if isinstance(answer, EndpointError):
             self.close()
             return Error(answer)
@@ -277,32 +274,33 @@
         timeout_ms: float,
         answer_type: Callable[..., AnswerType],
     ) -> Result[AnswerType, EndpointError]:
-        answer = self._ask(fields, timeout_ms)
+        answer = self._request(fields, timeout_ms)
         if isinstance(answer, EndpointError):
             return Error(answer)
         try:
             return Ok(answer_type(*[answer[name] for name in answer_type._fields]))
         except KeyError as error:
             self.close()
-            return Error(_lose(f"the answer to {fields['op']} lacks {error}"))
+            return Error(
+                _make_lost_error(f"the answer to {fields['op']} lacks {error}")
+            )
 
-    def _ask(
+    def _request(
         self, fields: dict[str, Any], timeout_ms: float
     ) -> WireAnswer | EndpointError:
-        """Return the answer that carries the id of this very request."""
-        # Bytes that wait before anything was asked are an answer to an earlier
-        # request, or the end of the connection: found out here, the request is
-        # certain not to have run.
+        """Send a request and return the answer that has the request's id."""
+        # Bytes received before the request is sent are an answer to an earlier request,
+        # or the end of the connection. Detected here, the request certainly hasn't run.
         if not self.is_usable():
             return EndpointError(UNREACHABLE, "the link was closed before the request")
         self._last_id += 1
-        question = _encoder.encode({"id": self._last_id, **fields}) + b"\n"
+        request = _encoder.encode({"id": self._last_id, **fields}) + b"\n"
         try:
-            answer = self._exchange(question, timeout_ms)
+            answer = self._exchange(request, timeout_ms)
         except (OSError, BrokenLinkError, msgspec.MsgspecError) as error:
             self.close()
-            return _lose(f"no sound answer to {fields['op']}: {error}")
-        if self._in_doubt:
+            return _make_lost_error(f"no sound answer to {fields['op']}: {error}")
+        if self._got_repeated_answer:
             self.close()
         if answer["ok"]:
             return answer
@@ -310,24 +308,24 @@
             answer["error"], answer.get("message", ""), answer.get("term", 0)
         )
 
-    def _exchange(self, question: bytes, timeout_ms: float) -> WireAnswer:
+    def _exchange(self, request: bytes, timeout_ms: float) -> WireAnswer:
         end_ms = self._clock.now_ms() + timeout_ms
         self._connection.set_timeout(max(timeout_ms, 1))
-        self._connection.send(question)
+        self._connection.send(request)
         while True:
-            *earlier, line = self._receive_lines(end_ms).splitlines(keepends=True)
-            # Which of two answers to this request is the right one can't be known.
-            if any(self._read_answer(one)["id"] == self._last_id for one in earlier):
+            *previous, last = self._receive_lines(end_ms).splitlines(keepends=True)
+            # With two answers to this request, the right one can't be determined.
+            if any(self._read_answer(line)["id"] == self._last_id for line in previous):
                 raise BrokenLinkError("two answers came at once")
-            answer = self._read_answer(line)
+            answer = self._read_answer(last)
             if answer["id"] == self._last_id:
                 return answer
 
     def _read_answer(self, line: bytes) -> WireAnswer:
         """Return the answer to this request, or to an earlier one of this link.
 
-        An answer may come again when the next request is under way already. Taken for
-        the next one's it would leave that in doubt; the link is closed afterwards.
+        An earlier answer may be repeated while this request is under way. That must not
+        make the outcome of this request unknown; the link is closed afterwards.
         """
         if not check_nesting(line, ANSWER_NESTING):
             raise BrokenLinkError("its answer nests too deep")
@@ -335,7 +333,7 @@
         if answer["id"] > self._last_id:
             raise BrokenLinkError("it answers another request")
         if answer["id"] < self._last_id:
-            self._in_doubt = True
+            self._got_repeated_answer = True
         if not answer["ok"] and "error" not in answer:
             raise BrokenLinkError("it refuses without an error word")
         return answer
@@ -347,24 +345,25 @@
             raise TimeoutError("timed out") from None
 
     def _receive_lines(self, end_ms: float) -> bytes:
-        """Return what was received once it ends a line."""
+        """Return the received bytes once they end with a line feed."""
         line = b""
         while not line.endswith(b"\n"):
             left_ms = end_ms - self._clock.now_ms()
-            # A process that was paused looks once: its answer may be there.
+            # Receives at least once, as the answer may have come while this process
+            # was paused.
             if left_ms <= 0 and line:
                 raise TimeoutError("timed out")
             self._connection.set_timeout(max(left_ms, 0))
-            part = self._receive()
-            if not part:
+            chunk = self._receive()
+            if not chunk:
                 raise BrokenLinkError("the endpoint closed the connection")
-            line += part
-            if len(line) > ANSWER_LIMIT_BYTES:
+            line += chunk
+            if len(line) > MAX_ANSWER_BYTES:
                 raise BrokenLinkError("the answer is too long")
         return line
 
 
-def _lose(message: str) -> EndpointError:
+def _make_lost_error(message: str) -> EndpointError:
     return EndpointError(LOST, message, may_have_run=True)
 
 
@@ -372,10 +371,10 @@
 def open_link(
     runtime: Runtime, spec: EndpointSpec, caller: str, kind: str, timeout_ms: float
 ) -> Result[EndpointLink, EndpointError]:
-    """Return a link that has said hello, within `timeout_ms`.
+    """Return a link after its handshake, within `timeout_ms`.
 
-    `kind` is `work` or `monitor`. A failure is `unreachable`, or a word of the
-    endpoint's such as `too_many_connections`; either way nothing ran.
+    `kind` is `work` or `monitor`. The kind of the error is `unreachable`, or one that
+    the endpoint sent, such as `too_many_connections`; in either case nothing ran.
     """
     end_ms = runtime.clock.now_ms() + timeout_ms
     try:
@@ -383,10 +382,10 @@
     except OSError as error:
         return Error(EndpointError(UNREACHABLE, f"{spec.name}: {error}"))
     link = EndpointLink(runtime, connection)
-    greeted = link.greet(caller, kind, end_ms - runtime.clock.now_ms())
-    if greeted.is_ok():
+    handshake = link.shake_hands(caller, kind, end_ms - runtime.clock.now_ms())
+    if handshake.is_ok():
         return Ok(link)
-    error = greeted.error
+    error = handshake.error
     if error.kind == LOST:
         error = EndpointError(UNREACHABLE, f"{spec.name}: {error.message}")
     return Error(error)
--- a/bronzerelay/following.py
+++ b/bronzerelay/following.py
@@ -1,4 +1,4 @@
-"""Following a version until it is in force on every daemon."""
+"""Waits until a configuration version is in force on every daemon."""
 
 from typing import Any
 
@@ -18,10 +18,10 @@
 def wait_and_report(
     session: Session, fleet: Fleet | None, in_force: InForce, done: str = ""
 ) -> int:
-    """Wait for every daemon, print the outcome and return the exit code.
+    """Wait until the version is in force on all daemons; return the exit code.
 
-    `done` is the sentence to print once the version is in force everywhere. Without
-    a fleet nothing is waited for.
+    Prints the outcome, and also the sentence `done` if the version is in force
+    everywhere. Without a fleet it doesn't wait.
     """
     record = in_force.record
     data: dict[str, Any] = {
--- a/bronzerelay/nesting.py
+++ b/bronzerelay/nesting.py
@@ -1,13 +1,13 @@
-"""How deep JSON from outside may nest."""
+"""The limit for the nesting of JSON that comes from other processes."""
 
 import re
 
-# A decoder calls itself once for each level. The stack of a task is small, and some
-# thousand brackets in one body end the whole process with a segmentation fault.
+# The JSON decoder recurses once for each level. The stack of a task is small, and a few
+# thousand brackets in one body would end the process with a segmentation fault.
 MAX_NESTING = 64
 NESTING_TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*+"|[\[{]|[\]}]', re.DOTALL)
 OPENING = (b"[", b"{")
-# What a caller may store comes back within the answers' own levels.
+# In answers, the values that callers stored are nested in the answers' own levels.
 ANSWER_NESTING = MAX_NESTING + 16
 
 
--- a/bronzerelay/retries.py
+++ b/bronzerelay/retries.py
@@ -1,16 +1,17 @@
-"""A budget for retries, so that they never multiply a failure."""
+"""A retry budget, so that retries never amplify an overload."""
 
 from bronzerelay.runtime import Runtime
 
-# Retries may add a fifth to the work of the last seconds, and always a few.
+# Retries add at most a fifth to the load of the last seconds, and a few more: the
+# budget starts at the floor and holds at most five times as many.
 RETRY_RATIO = 0.2
 RETRY_FLOOR = 20.0
 MAX_ATTEMPTS = 4
-PAUSE_MS = (5, 15, 40)
+BACKOFF_MS = (5, 15, 40)
 
 
 class RetryBudget:
-    """Counts work and retries; a retry is allowed while it stays a small part."""
+    """A token bucket that is filled by requests and spent by retries."""
 
     def __init__(self, runtime: Runtime):
         self._runtime = runtime
@@ -18,12 +19,12 @@
         self._tokens = RETRY_FLOOR
 
     def count_request(self) -> None:
-        """Earn a part of a retry with each request."""
+        """Add a request's fraction of a retry to the budget."""
         with self._lock:
             self._tokens = min(self._tokens + RETRY_RATIO, RETRY_FLOOR * 5)
 
     def allow(self, attempt: int) -> bool:
-        """Spend one retry; return False when the budget or the attempts are over."""
+        """Spend one retry; return False if the budget or the attempts are exhausted."""
         if attempt >= MAX_ATTEMPTS:
             return False
         with self._lock:
@@ -33,7 +34,7 @@
         return True
 
     def back_off(self, attempt: int, left_ms: float) -> None:
-        """Wait before attempt number `attempt`, with jitter, within `left_ms`."""
-        step = min(attempt, len(PAUSE_MS)) - 1
-        wait_ms = PAUSE_MS[max(0, step)] * self._runtime.random.uniform(0.5, 1.5)
+        """Wait after attempt number `attempt`, with jitter, for at most `left_ms`."""
+        step = min(attempt, len(BACKOFF_MS)) - 1
+        wait_ms = BACKOFF_MS[max(0, step)] * self._runtime.random.uniform(0.5, 1.5)
         self._runtime.sleep_ms(min(wait_ms, max(0.0, left_ms)))
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -32,7 +32,7 @@
         "bronzerelay/nesting.py",
         "if depth > limit:",
         "if False:",
-        "tests/test_nesting.py::test_a_deep_answer_of_an_endpoint_ends_its_link_only",
+        "tests/test_nesting.py::test_a_deep_answer_of_an_endpoint_closes_its_link_only",
     ),
     Mutation(
         "a write that is refused comes back a few times only",
@@ -102,28 +102,28 @@
         "bronzerelay/group.py",
         "run after all.\n                return self.settle(work, attempt)",
         "run after all.\n                attempt += 1\n                continue",
-        "tests/test_promise_once.py::test_thawed_daemon_runs_nothing_given_up",
+        "tests/test_promise_once.py::test_thawed_daemon_runs_no_cancelled_write",
     ),
     Mutation(
         "only the daemon that gave an attempt up may send the next one",
         "bronzerelay/group.py",
         "self._give_up_attempt(work, attempt, attempt == first)",
         "self._give_up_attempt(work, attempt, True)",
-        "tests/test_promise_once.py::test_late_finder_repeats_nothing",
+        "tests/test_promise_once.py::test_late_settling_daemon_repeats_nothing",
     ),
     Mutation(
         "a write counts as given up on only when a majority holds that",
         "bronzerelay/group.py",
         "if not self._watch.wait_majority(position, self.left_ms(work)):",
         "if False:",
-        "tests/test_promise_once.py::test_giving_up_needs_a_majority",
+        "tests/test_promise_once.py::test_cancelling_needs_a_majority",
     ),
     Mutation(
         "a write lost with its daemon is found out about, not sent again",
         "bronzerelay/routing.py",
         "if is_write(work) and _was_lost(result.error):",
         "if False:",
-        "tests/test_promise_once.py::test_link_between_daemons_cut",
+        "tests/test_promise_once.py::test_cut_link_between_daemons",
     ),
     Mutation(
         "only a settlement proves that a lost write has not run",
@@ -151,7 +151,7 @@
         "bronzerelay/reads.py",
         "need = work.session.get(work.group, Position(0, 0))",
         "need = Position(0, 0)",
-        "tests/test_promise_sessions.py::test_session_outlives_a_failover",
+        "tests/test_promise_sessions.py::test_session_holds_across_a_failover",
     ),
     Mutation(
         "sessions agree with the naive store",
@@ -165,14 +165,14 @@
         "bronzerelay/reads.py",
         "if may_be_lost and not policy.wait_acknowledged(self._watch, seen, wait_ms):",
         "if False:",
-        "tests/test_promise_sessions.py::test_nothing_seen_is_unseen",
+        "tests/test_promise_sessions.py::test_what_a_read_returned_does_not_vanish",
     ),
     Mutation(
         "a read at the primary proves its age",
         "bronzerelay/reads.py",
         "if policy.wait_proven(self._watch, seen, since_ms, by_primary, wait_ms):",
         "if True:",
-        "tests/test_promise_sessions.py::test_former_primary_does_not_pass_for_fresh",
+        "tests/test_promise_sessions.py::test_former_primary_proves_no_freshness",
     ),
     Mutation(
         "a replica proves its age by a position that it holds",
@@ -186,7 +186,7 @@
         "bronzerelay/watch.py",
         "SAMPLE_GAP_MS = 20",
         "SAMPLE_GAP_MS = 0",
-        "tests/test_promise_sessions.py::test_busy_primary_leaves_proofs_for_slow_replicas",
+        "tests/test_promise_sessions.py::test_busy_primary_keeps_proofs_for_slow_replicas",
     ),
     Mutation(
         "nothing runs on the link of a transaction that has ended",
@@ -503,7 +503,7 @@
         "bronzerelay/instances.py",
         "if not work.is_wanted():",
         "if False:",
-        "tests/test_promise_once.py::test_queued_work_of_a_peer_that_hung_up_takes_no_slot",
+        "tests/test_promise_once.py::test_queued_work_of_a_closed_peer_link_takes_no_slot",
     ),
     Mutation(
         "a peer that is slow to accept a connection isn't dead",
@@ -529,9 +529,9 @@
     Mutation(
         "an answer that comes again is passed over",
         "bronzerelay/dialect.py",
-        "            self._in_doubt = True\n",
+        "            self._got_repeated_answer = True\n",
         '            raise BrokenLinkError("it answers an earlier request")\n',
-        "tests/test_dialect.py::test_an_answer_that_comes_again_leaves_the_next_request_in_no_doubt",
+        "tests/test_dialect.py::test_a_repeated_answer_leaves_the_next_outcome_known",
     ),
     Mutation(
         "a signal that interrupts no wait wakes the main task",
--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -1,4 +1,4 @@
-"""Builders of endpoint stand-ins, links to them and scripted servers."""
+"""Builders of endpoint stand-ins, links to them and scripted endpoints."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 from standins.messages import EndpointSettings
 
 TIMEOUT_MS = 5000
-PATIENCE_MS = 5000
+WAIT_LIMIT_MS = 5000
 NAMES = ("orders-1", "orders-2", "orders-3")
 
 
@@ -33,23 +33,23 @@
 
 @contextlib.contextmanager
 def open_runtime(task_limit: int = 100) -> Iterator[Runtime]:
-    """Give a runtime, and check that all its tasks end."""
+    """Yield a runtime; check at the end that all its tasks have ended."""
     runtime = Runtime(task_limit, seed=1)
     try:
         yield runtime
     finally:
-        assert runtime.close(PATIENCE_MS), "tasks are left over"
+        assert runtime.close(WAIT_LIMIT_MS), "some tasks didn't end"
 
 
 def wait_until(runtime: Runtime, predicate: Callable[[], object]) -> None:
-    end_ms = runtime.clock.now_ms() + PATIENCE_MS
+    end_ms = runtime.clock.now_ms() + WAIT_LIMIT_MS
     while not predicate():
-        assert runtime.clock.now_ms() < end_ms, "it never came about"
+        assert runtime.clock.now_ms() < end_ms, "the condition was never met"
         runtime.sleep_ms(2)
 
 
 class Group:
-    """Three instances, of which the first starts as primary of term 1."""
+    """Three instances; the first one starts as primary of term 1."""
 
     def __init__(self, runtime: Runtime, **changes):
         self.runtime = runtime
@@ -74,7 +74,7 @@
         return dialect.open_link(self.runtime, spec, "vm-1", kind, timeout_ms)
 
     def open_endpoint(self, spec: EndpointSpec, kind: str, timeout_ms: float):
-        """Return a link as a daemon opens it; the opener of a GroupWatch."""
+        """Return a link as a daemon opens it; an `Opener` for a `GroupWatch`."""
         return self.try_link(spec.name, kind, timeout_ms)
 
     def link(self, name: str, kind: str = "work") -> dialect.EndpointLink:
@@ -105,7 +105,7 @@
 
 @contextlib.contextmanager
 def open_scripted_endpoint(reply: Callable[[Connection, bytes], None]) -> Iterator:
-    """Give a runtime and a link to a server that answers by `reply`."""
+    """Yield a runtime and a link to an endpoint that answers by calling `reply`."""
     with open_runtime() as runtime:
         listener = runtime.listen(Address("127.0.0.1", 0))
 
--- a/tests/test_dialect.py
+++ b/tests/test_dialect.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoints' dialect."""
+"""Tests of the endpoints' protocol."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 T = TIMEOUT_MS
 SHORT_MS = 100
-SOUND = b'{"id":2,"ok":true,"value":7,"log_term":1,"position":3}\n'
+VALID_ANSWER = b'{"id":2,"ok":true,"value":7,"log_term":1,"position":3}\n'
 
 
 def read(link, timeout_ms=T):
@@ -31,7 +31,7 @@
     assert (again.kind, again.may_have_run) == (dialect.UNREACHABLE, False)
 
 
-def test_each_op_gets_its_typed_answer():
+def test_each_operation_returns_its_typed_answer():
     with open_group() as group:
         monitor, link = group.link("orders-1", "monitor"), group.link("orders-1")
         assert link.instance == "orders-1"
@@ -54,9 +54,9 @@
         assert follower.follow(5, primary, T).ok == dialect.FollowAnswer(5)
 
 
-def test_a_refusal_names_the_term_and_leaves_the_link_open():
-    """A daemon that learned of a new term too late writes with the old one. The
-    write did not run, and the term in the answer says what to use.
+def test_an_error_contains_the_term_and_leaves_the_link_open():
+    """A daemon that doesn't know the new term yet writes with the old one. The write
+    did not run, and the answer contains the new term.
     """
     with open_group() as group:
         group.link("orders-2", "monitor").fence(6, T)
@@ -67,8 +67,8 @@
 
 
 def test_a_conflict_ends_the_transaction_and_busy_does_not():
-    """A commit is refused. After a conflict nothing is open on the link; after
-    `busy` the transaction still is, and a lender must not get the link.
+    """A commit fails. After a conflict no transaction is open on the link; after `busy`
+    it still is, and the link must not be lent to anybody else.
     """
     with open_group(slots=1) as group:
         link, other = group.link("orders-1"), group.link("orders-1")
@@ -87,8 +87,8 @@
 
 
 def test_a_crossed_answer_never_reaches_the_request():
-    """The endpoint answers with the id and value of the request before. A caller
-    who got it would read another workspace's row.
+    """The endpoint answers with the id and value of the previous request. The caller
+    would get a row of another workspace.
     """
     with open_group() as group:
         link = group.link("orders-1")
@@ -98,8 +98,8 @@
 
 
 def test_a_late_answer_never_reaches_the_next_request():
-    """An answer comes after its timeout. The link is closed, so that the next
-    request can't take it for its own.
+    """An answer comes after its timeout. The link is closed, so that the answer isn't
+    returned to the next request.
     """
     with open_group() as group:
         group.admin(
@@ -109,54 +109,54 @@
         check_lost(link, read(link, SHORT_MS))
 
 
-def test_an_answer_that_arrives_unasked_is_found_before_the_next_request():
-    """An answer is sent twice and the second one waits on an idle link. The next
-    request is not sent at all, so "not run" is certain.
+def test_an_unexpected_answer_is_detected_before_the_next_request():
+    """An answer is sent twice and the second one is received on an idle link. The next
+    request isn't sent at all, so "not run" is certain.
     """
-    asked = []
+    requests = []
     sent = []
 
     def reply(connection, line):
-        asked.append(line)
-        connection.send(SOUND)
+        requests.append(line)
+        connection.send(VALID_ANSWER)
         runtime.sleep_ms(SHORT_MS)
-        connection.send(SOUND)
-        sent.append(SOUND)
+        connection.send(VALID_ANSWER)
+        sent.append(VALID_ANSWER)
 
     with open_scripted_endpoint(reply) as (runtime, link):
         assert read(link).ok.value == 7
         wait_until(runtime, lambda: sent)
         error = read(link).error
         assert (error.kind, error.may_have_run) == (dialect.UNREACHABLE, False)
-        assert len(asked) == 1
+        assert len(requests) == 1
 
 
 @pytest.mark.parametrize("pause_ms", [0, SHORT_MS])
-def test_an_answer_that_comes_again_leaves_the_next_request_in_no_doubt(pause_ms):
-    """Guards against taking a repeated answer for that of the request under way."""
-    asked = []
+def test_a_repeated_answer_leaves_the_next_outcome_known(pause_ms):
+    """Guards against mistaking a repeated answer for that of the request under way."""
+    requests = []
 
     def reply(connection, line):
-        asked.append(line)
-        if len(asked) == 2:
-            connection.send(SOUND)
+        requests.append(line)
+        if len(requests) == 2:
+            connection.send(VALID_ANSWER)
             runtime.sleep_ms(pause_ms)
-        answer_id = b'"id":%d' % (len(asked) + 1)
-        connection.send(SOUND.replace(b'"id":2', answer_id))
+        answer_id = b'"id":%d' % (len(requests) + 1)
+        connection.send(VALID_ANSWER.replace(b'"id":2', answer_id))
 
     with open_scripted_endpoint(reply) as (runtime, link):
         assert read(link).ok.value == 7
         assert read(link).ok.value == 7
-        assert len(asked) == 2
+        assert len(requests) == 2
         assert not link.is_usable()
 
 
 @pytest.mark.parametrize(
     "answer",
     [
-        SOUND + SOUND,
-        SOUND[:-1],
-        SOUND[:20],
+        VALID_ANSWER + VALID_ANSWER,
+        VALID_ANSWER[:-1],
+        VALID_ANSWER[:20],
         b"\xff\n",
         b"[]\n",
         b'{"ok":true,"value":7,"log_term":1,"position":3}\n',
@@ -167,9 +167,9 @@
         b'{"id":2,"ok":false}\n',
     ],
 )
-def test_an_unsound_answer_closes_the_link(answer):
-    """An answer is doubled, cut short, garbled, or belongs to another request.
-    The caller is told that the request may have run and nothing of the answer.
+def test_an_invalid_answer_closes_the_link(answer):
+    """An answer is duplicated, truncated, malformed, or belongs to another request. The
+    caller gets an error that says that the request may have run, and no value.
     """
 
     def reply(connection, line):
@@ -180,9 +180,9 @@
         check_lost(link, read(link))
 
 
-def test_bytes_that_trickle_in_do_not_stretch_the_timeout():
-    """The endpoint sends a byte now and then and never a whole answer. The caller
-    still gets an answer at the timeout, not minutes later.
+def test_slowly_received_bytes_do_not_extend_the_timeout():
+    """The endpoint sends single bytes and never a whole answer. The caller still gets
+    an error at the timeout, not minutes later.
     """
     sent = []
 
@@ -196,8 +196,8 @@
         assert len(sent) < 250
 
 
-def test_an_endpoint_that_is_away_is_unreachable_and_nothing_ran():
-    """Nobody listens at the address, or somebody accepts and stays silent."""
+def test_an_absent_endpoint_is_unreachable_and_nothing_ran():
+    """Nothing listens at the address, or the connection gets no answer."""
     with open_runtime() as runtime:
         listener = runtime.listen(Address("127.0.0.1", 0))
         spec = make_spec(listener.address)
--- a/tests/test_nesting.py
+++ b/tests/test_nesting.py
@@ -1,4 +1,4 @@
-"""Tests of nonsense from the platform and from endpoints, deep nesting above all."""
+"""Tests of invalid answers of the platform and endpoints, especially deep nesting."""
 
 import contextlib
 
@@ -17,8 +17,8 @@
 ANY_PORT = Address("127.0.0.1", 0)
 
 
-class Speaker:
-    """A server that answers each request of HTTP with the same bytes."""
+class FakePlatform:
+    """A server that answers each HTTP request with the same bytes."""
 
     def __init__(self, runtime):
         self.listener = runtime.listen(ANY_PORT)
@@ -38,7 +38,7 @@
 @pytest.fixture(scope="module")
 def platform():
     with open_runtime() as runtime:
-        speaker = Speaker(runtime)
+        speaker = FakePlatform(runtime)
         address = speaker.listener.address
         client = KeyValueClient(
             runtime, KeyValueSettings((address,), "vm-1", TIMEOUT_MS)
@@ -51,7 +51,7 @@
     return head.encode() + body
 
 
-def test_brackets_in_strings_are_no_levels():
+def test_brackets_in_strings_do_not_count_as_levels():
     assert check_nesting(b'{"a": "' + b"[" * LEVELS + b'"}')
     assert not check_nesting(b"[" * (MAX_NESTING + 1))
 
@@ -78,10 +78,10 @@
     assert all(result.is_ok() or result.error.message for result in results)
 
 
-def test_a_deep_answer_of_an_endpoint_ends_its_link_only():
-    """A row holds a value that somebody nested thousands of levels deep, past us.
+def test_a_deep_answer_of_an_endpoint_closes_its_link_only():
+    """A row holds a value nested thousands of levels deep, not written by a daemon.
 
-    Whoever read it would end the serving daemon, and the next one after that.
+    Reading it would crash the serving daemon, and then the next serving daemon.
     """
 
     def reply(connection, line):
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -97,8 +97,8 @@
 
 
 def test_a_link_that_could_not_be_opened_does_not_count():
-    """The endpoint is unreachable for a while. Failed attempts to connect must not count
-    against the limit, or the pool would stay exhausted once the endpoint is back.
+    """The endpoint is unreachable for a while. Failed attempts to connect must not
+    count against the limit, or the pool would stay exhausted for ever.
     """
     with open_runtime() as runtime:
         failure = Error(dialect.EndpointError(dialect.UNREACHABLE, "away"))
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -1,4 +1,4 @@
-"""Every change runs at most once, and what its caller was told about it is true."""
+"""Every write runs at most once, and the answer that its caller gets is true."""
 
 import pytest
 
@@ -47,11 +47,11 @@
 
 
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_answer_of_endpoint_lost(repeatable):
-    """A connection breaks just before a write runs, or just after.
+def test_lost_answer_of_an_endpoint(repeatable):
+    """A connection is lost just before a write runs, or just after.
 
-    The caller would send the order again and get it twice, or never again and lose
-    it, if the daemon guessed.
+    If the daemon guessed the outcome, the caller could repeat a write that ran, or not
+    repeat one that was lost.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -61,24 +61,24 @@
             fault = {"ops": ["write"], "count": 1, "before": before}
             deployment.group.admin(primary, "drop_answers", **fault)
             result = send_add(deployment.ranked[0], row, repeatable=repeatable)
-            lost = before and not repeatable
-            assert outcome_of(result) == (NOT_RUN if lost else RAN)
+            cancelled = before and not repeatable
+            assert outcome_of(result) == (NOT_RUN if cancelled else RAN)
             check_outcome(deployment, outcome_of(result), row)
 
 
 @pytest.mark.parametrize("before", [False, True])
 @pytest.mark.parametrize("settle_before", [False, True])
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_answer_lost_while_finding_out(before, settle_before, repeatable):
-    """The connection breaks again while the daemon finds out about a lost answer.
+def test_answer_lost_while_settling(before, settle_before, repeatable):
+    """The connection is lost again while the daemon settles a write.
 
-    A second guess would be as bad as the first.
+    Guards against a guess of the outcome at the second loss.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
         primary = deployment.find_primary()
-        for ops, first in ((["write"], before), (["settle"], settle_before)):
-            fault = {"ops": ops, "count": 1, "before": first}
+        for ops, drop_before in ((["write"], before), (["settle"], settle_before)):
+            fault = {"ops": ops, "count": 1, "before": drop_before}
             deployment.group.admin(primary, "drop_answers", **fault)
         result = send_add(deployment.ranked[0], "row", repeatable=repeatable)
         assert outcome_of(result) != UNKNOWN
@@ -87,11 +87,11 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_link_to_endpoint_cut(fault, repeatable):
-    """The network between daemon and endpoint cuts a request or an answer anywhere.
+def test_cut_link_to_an_endpoint(fault, repeatable):
+    """The network between a daemon and an endpoint cuts a request or an answer.
 
-    A request that is held up runs when nobody waits for it any more, unless it was
-    given up on for good before its caller heard "not run".
+    A delayed request runs when nobody waits for it any more, unless it was cancelled
+    before its caller got the answer "not run".
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -105,7 +105,7 @@
         check_outcome(deployment, outcome_of(result), "row")
 
 
-# What requests and answers of an exchange with an endpoint hold, and no others.
+# The bytes that identify the request and the answer of an exchange with an endpoint.
 EXCHANGES = {
     "write": (b'"op":"write"', b'"duplicate"'),
     "status": (b'"op":"status"', b'"role"'),
@@ -115,7 +115,7 @@
 @pytest.mark.parametrize("exchange", EXCHANGES)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_lost_connection_replaces_no_primary(fault, exchange):
-    """Guards against taking one lost connection for the silence of its endpoint."""
+    """Guards against a failover due to a single lost connection to the primary."""
     with open_deployment() as deployment:
         deployment.warm_up()
         primary = deployment.find_primary()
@@ -135,12 +135,12 @@
 # Answers lost between daemons
 
 
-@pytest.mark.parametrize("fault", [one for one in FAULTS if one != HOLD_REQUEST])
+@pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault != HOLD_REQUEST])
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_link_between_daemons_cut(fault, repeatable):
-    """The link between two daemons breaks around a forwarded write.
+def test_cut_link_between_daemons(fault, repeatable):
+    """The link between two daemons is lost during a forwarded write.
 
-    The daemon that took the request can't see whether the serving one had begun.
+    The forwarding daemon can't know whether the serving daemon has started the write.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -156,8 +156,8 @@
         check_outcome(deployment, outcome_of(result), "row")
 
 
-def test_queued_work_of_a_peer_that_hung_up_takes_no_slot():
-    """Guards against slots spent on writes that others find out about already."""
+def test_queued_work_of_a_closed_peer_link_takes_no_slot():
+    """Guards against slots spent on writes that another daemon already settles."""
     with open_deployment(2, service_ms=100) as deployment:
         deployment.warm_up()
         serving, other = deployment.ranked
@@ -166,30 +166,29 @@
         sent = deployment.runtime.start(send_add, other, "row")
         wait_until(deployment.runtime, lambda: slots.count_waiting() == {WORKSPACE: 1})
         other.links.drop(serving.cutter.address)
-        told = outcome_of(sent.result())
+        outcome = outcome_of(sent.result())
         release()
         wait_until_idle(deployment)
-        check_outcome(deployment, told, "row")
-        tried = [one.op for one in deployment.list_executions("write", "settle")]
-        assert tried.count("write") == len(deployment.nodes)
-        assert tried.count("settle") == 1
+        check_outcome(deployment, outcome, "row")
+        ops = [run.op for run in deployment.list_executions("write", "settle")]
+        assert ops.count("write") == len(deployment.nodes)
+        assert ops.count("settle") == 1
 
 
 @pytest.mark.parametrize("key", ["", "order-7"])
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_thawed_daemon_runs_nothing_given_up(key, repeatable):
-    """The serving daemon freezes before it has read a request, and goes on later.
+def test_thawed_daemon_runs_no_cancelled_write(key, repeatable):
+    """The serving daemon freezes before it has read a request, and resumes later.
 
-    Its peer finds out that the write hasn't run and tells the caller so. The thawed
-    daemon then runs it: forty lunches that nobody ordered.
+    Its peer cancels the write and answers "not run". The thawed daemon must not run it.
     """
     with open_deployment(3) as deployment:
         deployment.warm_up()
         serving = deployment.ranked[0]
         serving.cutter.arm(HOLD_REQUEST)
         result = send_add(deployment.ranked[1], "row", key=key, repeatable=repeatable)
-        told = outcome_of(result)
-        assert told == (RAN if repeatable else NOT_RUN)
+        outcome = outcome_of(result)
+        assert outcome == (RAN if repeatable else NOT_RUN)
         count = len(deployment.list_executions("write"))
         serving.cutter.release()
         wait_until(
@@ -197,14 +196,14 @@
             lambda: len(deployment.list_executions("write")) > count,
         )
         wait_until_idle(deployment)
-        check_outcome(deployment, told, "row")
+        check_outcome(deployment, outcome, "row")
 
 
-def test_giving_up_needs_a_majority():
-    """A write is given up on at a primary that its replicas can't reach any more.
+def test_cancelling_needs_a_majority():
+    """A write is cancelled on a primary that its replicas can't reach any more.
 
-    The next primary knows nothing of it. There the daemon that had frozen with the
-    write in hand would run it, after its caller had heard "not run".
+    The next primary lacks the cancellation. A daemon that was frozen with the write
+    would run it there after its caller got the answer "not run".
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -212,7 +211,7 @@
         first_primary, *replicas = NAMES
         deployment.group.admin(first_primary, "cut", names=replicas)
         serving.cutter.arm(HOLD_REQUEST)
-        told = outcome_of(send_add(other, "row", deadline_ms=5000))
+        outcome = outcome_of(send_add(other, "row", deadline_ms=5000))
         watch = serving.groups.find("orders").components.watch
         wait_until(
             deployment.runtime, lambda: watch.primary() not in (None, first_primary)
@@ -224,32 +223,32 @@
             lambda: len(deployment.list_executions("write")) > count,
         )
         wait_until_idle(deployment)
-        assert told == NOT_RUN
-        check_outcome(deployment, told, "row")
+        assert outcome == NOT_RUN
+        check_outcome(deployment, outcome, "row")
 
 
-def test_late_finder_repeats_nothing():
-    """Two daemons find out about one lost write, one long after the other.
+def test_late_settling_daemon_repeats_nothing():
+    """Two daemons settle the same lost write, one long after the other.
 
-    The first gives it up, and the caller hears "not run". The second, frozen since it
-    sent the write, must not take its turn to repeat it.
+    The first one cancels it, and the caller gets the answer "not run". The second one,
+    frozen since it sent the write, must not repeat it.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
         first, late = deployment.ranked
         work = make_work(first, add("row", 1), "request-1")
-        told = outcome_of(first.kernel.run_here(work, settle=True))
-        assert told == NOT_RUN
+        outcome = outcome_of(first.kernel.run_here(work, settle=True))
+        assert outcome == NOT_RUN
         again = make_work(late, add("row", 1), "request-1", repeatable=True)
         assert outcome_of(late.groups.find("orders").settle(again, 1)) == NOT_RUN
-        check_outcome(deployment, told, "row")
+        check_outcome(deployment, outcome, "row")
 
 
 @pytest.mark.parametrize("first_repeats", [False, True])
 def test_two_daemons_settle_together(first_repeats):
-    """A peer link and the link to the endpoint break at once.
+    """A peer link and the link to the endpoint are lost at the same time.
 
-    Two daemons find out about the same write, and one of them may send it again.
+    Two daemons settle the same write, and one of them may send it again.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -263,20 +262,21 @@
                 )
                 for node in deployment.nodes
             ]
-            told = [outcome_of(future.result()) for future in futures]
+            outcomes = [outcome_of(future.result()) for future in futures]
             effects = deployment.count_writes(row)
             assert effects <= 1
-            # Whoever said "not run" had seen each number given up that was tried.
+            # A daemon that answers "not run" has seen all attempts so far cancelled.
             if effects:
-                assert RAN in told
+                assert RAN in outcomes
             else:
-                assert told == [NOT_RUN, NOT_RUN]
+                assert outcomes == [NOT_RUN, NOT_RUN]
 
 
 def test_unknown_group_is_not_proof_of_not_run():
-    """The daemon that should find out about a lost write lacks the configuration.
+    """The daemon that has to settle a lost write lacks the configuration.
 
-    It refuses because it doesn't know the group. That says nothing about the write.
+    It refuses because it doesn't know the group. That doesn't prove that the write
+    hasn't run.
     """
     with open_deployment(2) as deployment:
         deployment.warm_up()
@@ -292,9 +292,9 @@
 
 
 def test_lost_read_has_not_run():
-    """A daemon thaws and finds that its peer's answer to a read never came.
+    """The answer of a peer to a read is lost.
 
-    A read has no effect, so its caller may send it again without a second thought.
+    A read has no effect, so the answer must be "not run" and let the caller retry.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -310,10 +310,10 @@
 
 @pytest.mark.parametrize("repeatable", [False, True])
 def test_primary_freezes_with_a_write(repeatable):
-    """The primary freezes with a write in hand, is replaced, and goes on later.
+    """The primary freezes with an unread write, is replaced, and resumes later.
 
-    It then runs the write into its own log. Were that log to count, the order would
-    be there twice, or after its caller had heard "not run".
+    It then appends the write to its own log. If that log counted, the write would have
+    run twice, or after its caller got the answer "not run".
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -329,14 +329,14 @@
         check_outcome(deployment, outcome_of(result), "row")
 
 
-# The same change sent several times
+# The same write sent several times
 
 
 def test_same_key_through_all_daemons_at_once():
-    """A caller loses patience and sends the same refund through every daemon.
+    """A caller sends the same write with the same key through every daemon at once.
 
-    Connections to the endpoint break meanwhile, before and after the effect. Two
-    effects would pay the refund out twice.
+    Meanwhile connections to the endpoint are lost before and after the write runs. It
+    must run at most once.
     """
     with open_deployment(3, service_ms=2) as deployment:
         deployment.warm_up()
@@ -351,18 +351,18 @@
                 )
                 for node in deployment.nodes
             ]
-            told = [outcome_of(future.result()) for future in futures]
+            outcomes = [outcome_of(future.result()) for future in futures]
             effects = deployment.count_writes(row)
             assert effects <= 1
-            assert UNKNOWN not in told
-            assert (RAN in told) == (effects == 1), (told, effects)
+            assert UNKNOWN not in outcomes
+            assert (RAN in outcomes) == (effects == 1), (outcomes, effects)
 
 
-def test_key_given_up_stays_given_up():
-    """A refund was given up on, and its caller sends it again under the same key.
+def test_cancelled_key_stays_cancelled():
+    """A write was cancelled, and its caller sends it again with the same key.
 
-    The daemon can't tell this request from one that a frozen daemon still holds, so
-    it says that nothing ran and asks for a new key. With that the refund runs.
+    The daemon can't distinguish this request from one that a frozen daemon still holds,
+    so it answers "not run" and requires a new key. With that the write runs.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -377,8 +377,8 @@
         check_outcome(deployment, RAN, "row")
 
 
-def test_key_answers_the_recorded_result():
-    """A caller that lost its answer sends the refund again through another daemon."""
+def test_repeated_key_returns_the_recorded_result():
+    """A caller that lost its answer sends the write again through another daemon."""
     with open_deployment() as deployment:
         deployment.warm_up()
         first, second = deployment.nodes
@@ -392,9 +392,9 @@
 
 
 def test_not_repeatable_is_sent_once():
-    """Answers get lost again and again, each before its write ran.
+    """The answers to many writes are lost after the writes have run.
 
-    A request that may not be repeated must reach an endpoint under one name only.
+    A request that isn't repeatable must be sent to an endpoint only once.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -410,9 +410,9 @@
 
 
 def test_retries_stay_within_budget():
-    """Every instance refuses all work, while callers go on sending.
+    """Every instance refuses all work, while callers keep sending.
 
-    Each layer that retried by itself would multiply the work of the failing group.
+    Retries at several layers must not multiply the load of the failing group.
     """
     requests = 140
     with open_deployment(3, slots=0) as deployment:
@@ -424,29 +424,29 @@
         for future in futures:
             future.result()
         total = 3 * requests
-        sent = sum(len(one) for one in tries)
-        # The serving daemon and the one that took the request may each add a fifth,
-        # and what their budgets hold at the start.
+        sent = sum(len(names) for names in tries)
+        # The serving daemon and the forwarding daemon may each add a fifth, and the
+        # initial retries of their budgets.
         assert total <= sent <= total * 1.5 + 130
 
 
 def count_tries(node: Node) -> list[str]:
-    """Return a list to which each try at an endpoint adds its name."""
+    """Return a list to which each call to an endpoint adds the endpoint's name."""
     server = node.groups.find("orders")
     wait_until(node.runtime, server.components.watch.primary)
     tries = []
     run_at = server._instances.run_at
 
-    def note_and_run(name, call):
+    def record_and_run(name, call):
         tries.append(name)
         return run_at(name, call)
 
-    server._instances.run_at = note_and_run
+    server._instances.run_at = record_and_run
     return tries
 
 
 def send_refused(node: Node, count: int) -> None:
-    """Send reads and writes by turns, none of which can run."""
+    """Send reads and writes in turn, none of which can run."""
     for number in range(count):
         result = node.send(statement=get("row") if number % 2 else add("row", 1))
         assert outcome_of(result) == NOT_RUN
@@ -465,19 +465,19 @@
 )
 
 
-def test_load_while_everything_fails():
-    """Under load the serving daemon dies, the primary freezes and is replaced, the
-    next serving daemon freezes, and callers lose their connections all the while.
+def test_load_with_concurrent_failures():
+    """Under load the serving daemon is killed, the primary freezes and is replaced,
+    the next serving daemon freezes, and callers lose their connections.
 
-    Whatever a caller was told must agree with what the group holds at the end. Hardly
-    anybody should be left without knowing.
+    The answers that callers got must agree with the group's data at the end, and at
+    most 1 % of the outcomes may be unknown.
     """
     with open_runtime(task_limit=800) as runtime, Cluster(runtime, LAYOUT) as cluster:
         run = run_and_break(cluster, LOAD)
         assert run.struck >= 10
         assert run_checks(run.record, cluster.collect_evidence()) == []
         assert check_all_answered(run.record, run.cut_off) == []
-        unknown = [one for one in run.record if one.code == Code.OUTCOME_UNKNOWN]
+        unknown = [entry for entry in run.record if entry.code == Code.OUTCOME_UNKNOWN]
         assert len(unknown) <= len(run.record) * 0.01
         ran = sum(entry.ran == RAN for entry in run.record)
         assert ran >= (run.scheduled - run.struck) * 0.9
--- a/tests/test_promise_sessions.py
+++ b/tests/test_promise_sessions.py
@@ -1,4 +1,4 @@
-"""Reads see their session's changes, and nothing older than their callers accept."""
+"""Reads see their session's writes, and no data older than their callers accept."""
 
 import pytest
 from hypothesis import HealthCheck, given, settings
@@ -17,7 +17,7 @@
 
 
 class Session:
-    """A caller that carries its token from daemon to daemon."""
+    """A caller that sends its session token to whatever daemon it uses."""
 
     def __init__(self):
         self.token = ""
@@ -35,7 +35,7 @@
 
 
 def wait_replaced(deployment: Deployment, former: str) -> None:
-    """Wait until every daemon knows another primary than `former`."""
+    """Wait until every daemon knows a primary other than `former`."""
     watches = [node.groups.find("orders").components.watch for node in deployment.nodes]
     wait_until(
         deployment.runtime,
@@ -48,9 +48,9 @@
 
 @pytest.mark.parametrize("lags", [(5, 60), (60, 60), (5, 400)])
 def test_session_reads_its_own_writes(lags):
-    """Replicas lag, and a parent's next request goes through another daemon.
+    """Replicas lag, and the next request of a session goes through another daemon.
 
-    Without the session's token the allergy just entered would be missing.
+    Without the session token the read could miss the session's last write.
     """
     with open_deployment(3) as deployment:
         deployment.warm_up()
@@ -67,17 +67,17 @@
         assert roles.count("replica") >= 6
 
 
-def test_session_outlives_a_failover():
+def test_session_holds_across_a_failover():
     """The primary freezes after it acknowledged a write; one replica lags far behind.
 
-    A read in the same session must not find the replica that lacks the change.
+    A read of the same session must not be served by the replica that lacks the write.
     """
     with open_deployment(3) as deployment:
         deployment.warm_up()
         set_lag(deployment, 5, "orders-2")
         set_lag(deployment, 1500, "orders-3")
         session = Session()
-        # The replica's pull that waits already goes by the earlier lag.
+        # The replica's current pull still uses the previous lag.
         assert session.send(deployment.nodes[0], add("other", 1)).is_ok()
         assert session.send(deployment.nodes[0], add("tray", 1)).is_ok()
         deployment.group.admin("orders-1", "freeze")
@@ -91,10 +91,10 @@
             assert result.is_ok() and result.ok["value"] == 1
 
 
-def test_nothing_seen_is_unseen():
-    """A primary cut off from its replicas holds a change that nobody can acknowledge.
+def test_what_a_read_returned_does_not_vanish():
+    """A primary that is cut off from its replicas holds an unacknowledged write.
 
-    A caller that read it there would see it vanish when the primary is replaced.
+    If a caller read it there, it would see it vanish when the primary is replaced.
     """
     with open_deployment(2) as deployment:
         deployment.warm_up()
@@ -119,16 +119,15 @@
     ("lag_ms", "max_age_ms"), [(150, 0), (150, 60), (150, 400), (500, 1000)]
 )
 def test_no_read_is_older_than_stated(lag_ms, max_age_ms):
-    """A replica falls behind while a till posts returns all the time.
+    """A replica lags behind while a caller writes all the time.
 
-    A shop that accepts data of a certain age must not get older data, and gets its
-    data from the replica as long as that is young enough.
+    A read with a maximum age must not return older data, and must be served by the
+    replica as long as its data is recent enough.
     """
     with open_deployment(2) as deployment:
         deployment.warm_up()
         set_lag(deployment, lag_ms, "orders-2")
-        # The replica that keeps up lets the writes be quick, and is out of reach for
-        # the readers.
+        # The replica that keeps up makes the writes quick; it has no slots for reads.
         set_lag(deployment, 5, "orders-3")
         for node in deployment.nodes:
             slots = node.groups.find("orders").components.slots
@@ -158,11 +157,11 @@
             assert roles.count("replica") >= len(roles) * 0.8
 
 
-def test_busy_primary_leaves_proofs_for_slow_replicas():
-    """The primary takes a thousand changes a second, and a replica is 1 s behind.
+def test_busy_primary_keeps_proofs_for_slow_replicas():
+    """The primary runs a thousand writes per second, and a replica is 1 s behind.
 
-    Its data is young enough, but if the daemon forgot by then where the primary stood
-    a second ago it couldn't prove that, and all reads would fall on the primary.
+    Its data is recent enough. If the daemon no longer had the primary's position of a
+    second ago, it couldn't prove that, and all reads would go to the primary.
     """
     with open_runtime() as runtime:
         runtime.start = lambda *_: None
@@ -180,11 +179,11 @@
         assert watch.proven_age_ms("orders-1") < 100
 
 
-def test_former_primary_does_not_pass_for_fresh():
-    """A daemon reaches only the former primary, which knows of no successor.
+def test_former_primary_proves_no_freshness():
+    """A daemon reaches only the former primary, which doesn't know its successor.
 
-    Shops that ask for data of the last 200 ms would read an index that stands still,
-    for as long as the cut lasts.
+    Reads with a maximum age of 200 ms must not return its outdated data for as long as
+    the partition lasts.
     """
     with open_deployment(2) as deployment:
         deployment.warm_up()
@@ -227,7 +226,10 @@
 
 
 class Model:
-    """The naive store with its history, and what each session has seen of it."""
+    """The naive store with its history, and what each session has seen of it.
+
+    `floors` are the indexes of the oldest states that each session may still see.
+    """
 
     def __init__(self, deployment: Deployment, prefix: str):
         self.deployment = deployment
@@ -255,7 +257,7 @@
         self.floors[number] = len(self.history) - 1
 
     def send(self, number: int, node: int, statement: dict, fields: dict) -> dict:
-        """Return the answer; what has not run is sent again, as a caller would."""
+        """Return the answer; retry a statement that hasn't run, as a caller would."""
         while True:
             session = self.sessions[number]
             result = session.send(self.deployment.nodes[node], statement, **fields)
@@ -264,14 +266,16 @@
             assert result.error.ran == NOT_RUN, result.error
 
     def check_read(self, number: int, row: str, value, since_ms: float) -> None:
-        """Check that the session has seen nothing newer, and the age allows it."""
+        """Check that the value isn't older than its session or maximum age allows."""
         floor = self.floors[number]
         while floor + 1 < len(self.history) and self.history[floor + 1][0] <= since_ms:
             floor += 1
         later = range(floor, len(self.history))
-        fit = [index for index in later if self.history[index][1].get(row) == value]
-        assert fit, f"{row} is {value!r}, which is older than its session"
-        self.floors[number] = fit[0]
+        matching = [
+            index for index in later if self.history[index][1].get(row) == value
+        ]
+        assert matching, f"{row} is {value!r}, which is older than its session"
+        self.floors[number] = matching[0]
 
     def set_lag(self, name: str, lag_ms: float) -> None:
         set_lag(self.deployment, lag_ms, name)
