--- a/bronzerelay/failover.py
+++ b/bronzerelay/failover.py
@@ -132,7 +132,7 @@
 
     A primary that is cut off from its replicas, but not from this daemon, runs writes
     that can never be acknowledged, and looks healthy otherwise. The usual time to catch
-    up is measured, so that replicas with a constant long lag aren't taken for cut off.
+    up is measured, so that replicas with a constant long lag don't count as cut off.
     """
 
     def __init__(self, runtime: Runtime):
--- a/bronzerelay/instances.py
+++ b/bronzerelay/instances.py
@@ -18,7 +18,7 @@
 from bronzerelay.work import Work
 
 LEND_TIMEOUT_MS = 300
-# How long a caller is told to wait when a group has no primary.
+# The retry-after time of a refusal because a group has no primary.
 NO_PRIMARY_RETRY_MS = 300
 # The time reserved for a write to run and be acknowledged, as a multiple of the average
 # time for which a slot is held.
--- a/bronzerelay/reads.py
+++ b/bronzerelay/reads.py
@@ -19,7 +19,7 @@
 # What a replica holds, its primary holds as well: two instances, which are a majority
 # of up to three.
 REPLICA_MAJORITY = 2
-# How long a caller is told to wait when no instance can serve the read.
+# The retry-after time of a refusal because no instance can serve the read.
 READ_RETRY_MS = 300
 
 
--- a/lab/primary_daemon.py
+++ b/lab/primary_daemon.py
@@ -15,5 +15,5 @@
 
 
 if __name__ == "__main__":
-    Reader._choose_reader = choose_primary
+    Reader._acquire_slot = choose_primary
     daemon.main()
