--- a/bronzerelay/failover.py
+++ b/bronzerelay/failover.py
@@ -1,4 +1,4 @@
-"""Promotion: fence a majority of a group at a new term, then promote the best log.
+"""Promotion: fence a majority of a group at a new term, promote the longest log.
 
 The instances themselves decide. Each accepts a term only once, so of two daemons that
 fence with the same term at most one gets a majority; and for each acknowledged write,
@@ -79,7 +79,7 @@
     def promote(
         self, spec: GroupSpec, term: int, endpoints: list[EndpointSpec]
     ) -> Outcome:
-        """Fence `endpoints` at `term` and promote the one with the best log.
+        """Fence `endpoints` at `term` and promote the one with the longest log.
 
         Nothing is promoted without a majority of the group in `spec`.
         """
@@ -170,9 +170,10 @@
 class FailoverManager:
     """Runs one group's failovers and switchovers, and points replicas to the primary.
 
-    The terms make it safe for any daemon to do this at any time. Only the serving
-    daemon does, as competing daemons would delay each other. `report_outcome` is called
-    with the outcome of each promotion and the reason for the promotion.
+    The terms make it safe for any daemon to do this at any time. It does so only while
+    `may_promote` returns true, normally at the serving daemon alone, as competing
+    daemons would delay each other. `report_outcome` is called with the outcome of each
+    promotion and the reason for the promotion.
     """
 
     def __init__(
@@ -180,14 +181,14 @@
         runtime: Runtime,
         watch: GroupWatch,
         opener: Opener,
-        is_serving: Callable[[], bool],
+        may_promote: Callable[[], bool],
         report_outcome: Callable[[Outcome, str], None],
     ):
         self._runtime = runtime
         self._watch = watch
         self._opener = opener
         self._promoter = Promoter(runtime, opener)
-        self._is_serving = is_serving
+        self._may_promote = may_promote
         self._report_outcome = report_outcome
         self._failures = 0
         self._repoint_at_ms = 0.0
@@ -203,7 +204,7 @@
     def run(self) -> None:
         """Check the group regularly until stopped."""
         while not self._stopped and self._runtime.sleep_ms(CHECK_INTERVAL_MS):
-            if not self._is_serving():
+            if not self._may_promote():
                 continue
             primary = self._watch.primary()
             if primary is None:
@@ -241,8 +242,8 @@
             self._runtime.sleep_ms(self._runtime.random.uniform(*COMPETITOR_PAUSE_MS))
         else:
             self._back_off_after_failure()
-        has_changed = self._watch.highest_term() != known_term
-        if has_changed or self._watch.primary() is not None:
+        term_changed = self._watch.highest_term() != known_term
+        if term_changed or self._watch.primary() is not None:
             return
         self._promote(
             known_term + 1,
--- a/bronzerelay/group.py
+++ b/bronzerelay/group.py
@@ -163,7 +163,7 @@
     # Unknown outcomes
 
     def settle(self, work: Work, attempt: int) -> Result[StatementAnswer, Refusal]:
-        """Determine the outcome of a write that may have run; never send it again.
+        """Determine the outcome of a write that may have run; never resend it.
 
         The primary either has the attempt in its log, or records it as cancelled,
         after which it can't run any more. Both count only once a majority holds them.
@@ -185,7 +185,7 @@
                 # The daemon that cancelled this attempt may have sent the next one.
                 attempt += 1
             else:
-                return self._give_up_attempt(work, attempt, attempt == first)
+                return self._repeat_or_refuse(work, attempt, attempt == first)
         message = "The answer was lost, and the outcome can't be told in time."
         return refuse(Code.OUTCOME_UNKNOWN, message, NO_PRIMARY_RETRY_MS, UNKNOWN)
 
@@ -209,7 +209,7 @@
             answer.outcome == "ran", answer.duplicate, answer.value, position, name
         )
 
-    def _give_up_attempt(
+    def _repeat_or_refuse(
         self, work: Work, attempt: int, may_repeat: bool
     ) -> Result[StatementAnswer, Refusal]:
         """Repeat a cancelled write if that is allowed, or refuse it.
@@ -234,4 +234,4 @@
         if isinstance(result.error, EndpointError) and result.error.may_have_run:
             return self.settle(work, attempt)
         # The attempt certainly didn't run, and no other daemon may send a later one.
-        return self._give_up_attempt(work, attempt, may_repeat=False)
+        return self._repeat_or_refuse(work, attempt, may_repeat=False)
--- a/bronzerelay/groups.py
+++ b/bronzerelay/groups.py
@@ -93,7 +93,7 @@
             ranking.first[group] = first
         return first
 
-    def _is_first(self, group: str) -> bool:
+    def _is_serving_daemon(self, group: str) -> bool:
         return self.rank_daemons(group)[:1] == [self._settings.name]
 
     def set_configuration(self, configuration: Configuration) -> None:
@@ -122,21 +122,23 @@
 
     def maintain(self) -> None:
         """Set up the groups that this daemon has to serve, and drop unused ones."""
-        served: set[str] = set()
+        previous: set[str] = set()
         while self._runtime.sleep_ms(CHECK_INTERVAL_MS):
-            first = {group for group in list(self._specs) if self._is_first(group)}
-            for group in first:
+            current = {
+                group for group in list(self._specs) if self._is_serving_daemon(group)
+            }
+            for group in current:
                 self.find(group)
-            if first != served:
-                self._log_change(first, served)
-            served = first
+            if current != previous:
+                self._log_change(current, previous)
+            previous = current
             self._drop_unused()
 
-    def _log_change(self, first: set[str], before: set[str]) -> None:
+    def _log_change(self, current: set[str], previous: set[str]) -> None:
         extra = {
-            "served": len(first),
-            "began": sorted(first - before)[:LOGGED_GROUP_LIMIT],
-            "ended": sorted(before - first)[:LOGGED_GROUP_LIMIT],
+            "served": len(current),
+            "began": sorted(current - previous)[:LOGGED_GROUP_LIMIT],
+            "ended": sorted(previous - current)[:LOGGED_GROUP_LIMIT],
             "live_daemons": len(self._membership.alive_names()),
         }
         self._log.info("The groups that this daemon serves changed.", extra=extra)
@@ -155,8 +157,8 @@
         for pool in components.pools.values():
             pool.close()
 
-    def _is_serving(self, group: str) -> bool:
-        if self._is_first(group):
+    def _may_promote(self, group: str) -> bool:
+        if self._is_serving_daemon(group):
             return True
         served = self._served.get(group)
         now_ms = self._runtime.clock.now_ms()
@@ -167,14 +169,14 @@
             self._runtime, spec, self._open_group_link, self._settings.status_wait_ms
         )
 
-        def is_serving() -> bool:
-            return self._is_serving(spec.name)
+        def may_promote() -> bool:
+            return self._may_promote(spec.name)
 
         def report_outcome(outcome: Outcome, why: str) -> None:
             self._report_outcome(spec.name, outcome, why)
 
         failover_manager = FailoverManager(
-            self._runtime, watch, self._open_group_link, is_serving, report_outcome
+            self._runtime, watch, self._open_group_link, may_promote, report_outcome
         )
         policy = make_policy(self._settings.policy)
         slots = SlotQueue(self._runtime, self._settings.queue_limit, policy.name_queue)
@@ -242,24 +244,26 @@
         self._log.warning("A promotion was tried.", extra=extra)
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of each group that this daemon is the serving daemon of.
+        """Return the state of each group whose serving daemon this daemon is.
 
         Groups that it keeps as a standby are left out; otherwise an operator would find
         two serving daemons for one group.
         """
         with self._lock:
-            kept = dict(self._served)
+            served = dict(self._served)
         return {
-            name: _describe_group(kept[name].server) if name in kept else UNKNOWN_STATE
+            name: _describe_group(served[name].server)
+            if name in served
+            else UNKNOWN_STATE
             for name in list(self._specs)
-            if self._is_first(name)
+            if self._is_serving_daemon(name)
         }
 
     def list_standby(self) -> list[str]:
         """Return the groups that this daemon keeps as a standby."""
         with self._lock:
-            kept = list(self._served)
-        return sorted(name for name in kept if not self._is_first(name))
+            served = list(self._served)
+        return sorted(name for name in served if not self._is_serving_daemon(name))
 
 
 def _can_reuse_pool(known: EndpointSpec, wanted: EndpointSpec) -> bool:
--- a/bronzerelay/retries.py
+++ b/bronzerelay/retries.py
@@ -3,9 +3,9 @@
 from bronzerelay.runtime import Runtime
 
 # Retries add at most a fifth to the load of the last seconds, and a few more: the
-# budget starts at the floor and holds at most five times as many.
+# budget starts with some retries and holds at most five times as many.
 RETRY_RATIO = 0.2
-RETRY_FLOOR = 20.0
+INITIAL_RETRIES = 20.0
 MAX_ATTEMPTS = 4
 BACKOFF_MS = (5, 15, 40)
 
@@ -16,12 +16,12 @@
     def __init__(self, runtime: Runtime):
         self._runtime = runtime
         self._lock = runtime.make_lock()
-        self._tokens = RETRY_FLOOR
+        self._tokens = INITIAL_RETRIES
 
     def count_request(self) -> None:
         """Add a request's fraction of a retry to the budget."""
         with self._lock:
-            self._tokens = min(self._tokens + RETRY_RATIO, RETRY_FLOOR * 5)
+            self._tokens = min(self._tokens + RETRY_RATIO, INITIAL_RETRIES * 5)
 
     def allow(self, attempt: int) -> bool:
         """Spend one retry; return False if the budget or the attempts are exhausted."""
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -107,8 +107,8 @@
     Mutation(
         "only the daemon that gave an attempt up may send the next one",
         "bronzerelay/group.py",
-        "self._give_up_attempt(work, attempt, attempt == first)",
-        "self._give_up_attempt(work, attempt, True)",
+        "self._repeat_or_refuse(work, attempt, attempt == first)",
+        "self._repeat_or_refuse(work, attempt, True)",
         "tests/test_promise_once.py::test_late_settling_daemon_repeats_nothing",
     ),
     Mutation(
@@ -480,8 +480,8 @@
         "a group is shown by the daemon that serves it",
         "bronzerelay/groups.py",
         "            for name in list(self._specs)\n"
-        "            if self._is_first(name)\n",
-        "            for name in kept\n",
+        "            if self._is_serving_daemon(name)\n",
+        "            for name in served\n",
         "tests/test_group.py::test_a_group_is_listed_by_its_serving_daemon_and_by_no_standby",
     ),
     Mutation(
