--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -38,13 +38,13 @@
     try:
         yield runtime
     finally:
-        assert runtime.close(WAIT_LIMIT_MS), "some tasks didn't end"
+        assert runtime.close(WAIT_LIMIT_MS), "tasks are left over"
 
 
 def wait_until(runtime: Runtime, predicate: Callable[[], object]) -> None:
     end_ms = runtime.clock.now_ms() + WAIT_LIMIT_MS
     while not predicate():
-        assert runtime.clock.now_ms() < end_ms, "the condition was never met"
+        assert runtime.clock.now_ms() < end_ms, "it never came about"
         runtime.sleep_ms(2)
 
 
