--- a/bronzerelay/slots.py
+++ b/bronzerelay/slots.py
@@ -184,6 +184,7 @@
         # The workspace whose turn it is; it has got its quantum for this turn.
         self._turn: str | None = None
         self._hold_ms: float = INITIAL_HOLD_MS
+        # Increased when waiters that have declined all free endpoints may decide anew.
         self._version = 0
         self._numbers = itertools.count()
         # Tasks in `acquire_endpoint` with a selector function, whose result may change
