--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -32,19 +32,19 @@
         "bronzerelay/nesting.py",
         "if depth > limit:",
         "if False:",
-        "tests/test_nesting.py::test_a_deep_answer_of_an_endpoint_ends_its_link_only",
+        "tests/test_nesting.py::test_a_deep_answer_of_an_endpoint_closes_its_link_only",
     ),
     Mutation(
         "a write that is refused comes back a few times only",
         "bronzerelay/group.py",
         "            tries += 1\n",
         "",
-        "tests/test_group.py::test_a_busy_primary_is_asked_a_few_times_only",
+        "tests/test_group.py::test_a_write_to_a_busy_primary_is_retried_a_few_times_only",
     ),
     Mutation(
         "a write is acknowledged only when a majority holds it",
         "bronzerelay/group.py",
-        "if self.wait_acknowledged(work, written.at):",
+        "if self.wait_acknowledged(work, written.position):",
         "if True:",
         "tests/test_failover.py::test_a_write_that_only_the_primary_holds_is_not_acknowledged",
     ),
@@ -60,7 +60,7 @@
         "bronzerelay/failover.py",
         "needed = len(spec.endpoints) // 2 + 1",
         "needed = 1",
-        "tests/test_failover.py::test_a_daemon_that_was_beaten_to_the_majority_promotes_nothing",
+        "tests/test_failover.py::test_a_daemon_without_a_majority_of_fences_promotes_nothing",
     ),
     Mutation(
         "the instance with the longest log is promoted",
@@ -74,21 +74,21 @@
         "bronzerelay/failover.py",
         "return now_ms - self._since_ms > limit_ms",
         "return False",
-        "tests/test_failover.py::test_a_primary_cut_from_its_replicas_is_replaced",
+        "tests/test_failover.py::test_a_primary_cut_off_from_its_replicas_is_replaced",
     ),
     Mutation(
         "instances that follow nobody are pointed to the primary",
         "bronzerelay/failover.py",
         "self._follow(endpoint, term, primary)",
         "pass",
-        "tests/test_failover.py::test_a_promotion_that_ends_half_way_is_taken_up",
+        "tests/test_failover.py::test_an_interrupted_promotion_is_completed",
     ),
     Mutation(
         "writes wait while a leaving primary is replaced",
         "bronzerelay/failover.py",
         "if self._wait_until_caught_up(primary, leaving):",
         "if False:",
-        "tests/test_failover.py::test_a_leaving_primary_hands_over_without_a_refusal",
+        "tests/test_failover.py::test_a_switchover_from_a_leaving_primary_refuses_no_write",
     ),
     Mutation(
         "a write whose answer is lost is found out about, not sent again",
@@ -102,28 +102,28 @@
         "bronzerelay/group.py",
         "run after all.\n                return self.settle(work, attempt)",
         "run after all.\n                attempt += 1\n                continue",
-        "tests/test_promise_once.py::test_thawed_daemon_runs_nothing_given_up",
+        "tests/test_promise_once.py::test_thawed_daemon_runs_no_cancelled_write",
     ),
     Mutation(
         "only the daemon that gave an attempt up may send the next one",
         "bronzerelay/group.py",
-        "self._give_up_attempt(work, attempt, attempt == first)",
-        "self._give_up_attempt(work, attempt, True)",
-        "tests/test_promise_once.py::test_late_finder_repeats_nothing",
+        "self._repeat_or_refuse(work, attempt, attempt == first)",
+        "self._repeat_or_refuse(work, attempt, True)",
+        "tests/test_promise_once.py::test_late_settling_daemon_repeats_nothing",
     ),
     Mutation(
         "a write counts as given up on only when a majority holds that",
         "bronzerelay/group.py",
-        "if not self._watch.wait_majority(at, self.left_ms(work)):",
+        "if not self._watch.wait_majority(position, self.left_ms(work)):",
         "if False:",
-        "tests/test_promise_once.py::test_giving_up_needs_a_majority",
+        "tests/test_promise_once.py::test_cancelling_needs_a_majority",
     ),
     Mutation(
         "a write lost with its daemon is found out about, not sent again",
         "bronzerelay/routing.py",
         "if is_write(work) and _was_lost(result.error):",
         "if False:",
-        "tests/test_promise_once.py::test_link_between_daemons_cut",
+        "tests/test_promise_once.py::test_cut_link_between_daemons",
     ),
     Mutation(
         "only a settlement proves that a lost write has not run",
@@ -151,7 +151,7 @@
         "bronzerelay/reads.py",
         "need = work.session.get(work.group, Position(0, 0))",
         "need = Position(0, 0)",
-        "tests/test_promise_sessions.py::test_session_outlives_a_failover",
+        "tests/test_promise_sessions.py::test_session_holds_across_a_failover",
     ),
     Mutation(
         "sessions agree with the naive store",
@@ -163,16 +163,16 @@
     Mutation(
         "what only the primary holds is not shown",
         "bronzerelay/reads.py",
-        "if in_doubt and not policy.wait_acknowledged(self._watch, seen, wait_ms):",
+        "if may_be_lost and not policy.wait_acknowledged(self._watch, seen, wait_ms):",
         "if False:",
-        "tests/test_promise_sessions.py::test_nothing_seen_is_unseen",
+        "tests/test_promise_sessions.py::test_what_a_read_returned_does_not_vanish",
     ),
     Mutation(
         "a read at the primary proves its age",
         "bronzerelay/reads.py",
         "if policy.wait_proven(self._watch, seen, since_ms, by_primary, wait_ms):",
         "if True:",
-        "tests/test_promise_sessions.py::test_former_primary_does_not_pass_for_fresh",
+        "tests/test_promise_sessions.py::test_former_primary_proves_no_freshness",
     ),
     Mutation(
         "a replica proves its age by a position that it holds",
@@ -186,7 +186,7 @@
         "bronzerelay/watch.py",
         "SAMPLE_GAP_MS = 20",
         "SAMPLE_GAP_MS = 0",
-        "tests/test_promise_sessions.py::test_busy_primary_leaves_proofs_for_slow_replicas",
+        "tests/test_promise_sessions.py::test_busy_primary_keeps_proofs_for_slow_replicas",
     ),
     Mutation(
         "nothing runs on the link of a transaction that has ended",
@@ -226,8 +226,8 @@
     Mutation(
         "a link inside a transaction is not lent again",
         "bronzerelay/pool.py",
-        "sound = not link.in_transaction and link.is_usable()",
-        "sound = link.is_usable()",
+        "reusable = not link.in_transaction and link.is_usable()",
+        "reusable = link.is_usable()",
         "tests/test_promise_transactions.py::test_transaction_on_former_primary",
     ),
     Mutation(
@@ -387,13 +387,13 @@
     Mutation(
         "idle endpoints save up no turns",
         "bronzerelay/slots.py",
-        "        return False\n\n    def _pass_turns",
-        "        self._pass_turns(len(self._ring))\n"
+        "        return False\n\n    def _skip_turns",
+        "        self._skip_turns(len(self._ring))\n"
         "        self._turn = None\n"
         "        return False\n"
         "\n"
-        "    def _pass_turns",
-        "tests/test_slots.py::test_idle_endpoints_that_suit_nobody_save_up_no_turns",
+        "    def _skip_turns",
+        "tests/test_slots.py::test_idle_endpoints_that_nobody_can_use_add_no_credit",
     ),
     Mutation(
         "a version never goes back",
@@ -458,7 +458,7 @@
     Mutation(
         "a leaving primary is replaced",
         "bronzerelay/failover.py",
-        "                self._move_off_leaving(primary)",
+        "                self._switch_over_leaving(primary)",
         "                pass",
         "tests/test_promise_configuration.py::test_leaving_endpoints_get_no_new_work",
     ),
@@ -480,16 +480,16 @@
         "a group is shown by the daemon that serves it",
         "bronzerelay/groups.py",
         "            for name in list(self._specs)\n"
-        "            if self._is_first(name)\n",
-        "            for name in kept\n",
-        "tests/test_group.py::test_a_group_is_shown_by_the_daemon_that_serves_it_and_by_no_stand_in",
+        "            if self._is_serving_daemon(name)\n",
+        "            for name in served\n",
+        "tests/test_group.py::test_a_group_is_listed_by_its_serving_daemon_and_by_no_standby",
     ),
     Mutation(
         "waking the queue takes no lock while no choice can change",
         "bronzerelay/slots.py",
-        "        if not self._choosing:\n            return\n",
+        "        if not self._dynamic_count:\n            return\n",
         "",
-        "tests/test_slots.py::test_writes_pass_the_lock_twice_however_often_replicas_report",
+        "tests/test_slots.py::test_writes_take_the_lock_twice_however_often_replicas_report",
     ),
     Mutation(
         "what would get its slot too late is refused at once",
@@ -503,7 +503,7 @@
         "bronzerelay/instances.py",
         "if not work.is_wanted():",
         "if False:",
-        "tests/test_promise_once.py::test_queued_work_of_a_peer_that_hung_up_takes_no_slot",
+        "tests/test_promise_once.py::test_queued_work_of_a_closed_peer_link_takes_no_slot",
     ),
     Mutation(
         "a peer that is slow to accept a connection isn't dead",
@@ -522,16 +522,16 @@
     Mutation(
         "a lost status connection is renewed",
         "bronzerelay/watch.py",
-        "renewed = self._renew(endpoint, lost.left_ms)",
-        "renewed = None",
+        "reconnected = self._reconnect(endpoint, failed.left_ms)",
+        "reconnected = None",
         "tests/test_promise_once.py::test_lost_connection_replaces_no_primary",
     ),
     Mutation(
         "an answer that comes again is passed over",
         "bronzerelay/dialect.py",
-        "            self._in_doubt = True\n",
+        "            self._got_repeated_answer = True\n",
         '            raise BrokenLinkError("it answers an earlier request")\n',
-        "tests/test_dialect.py::test_an_answer_that_comes_again_leaves_the_next_request_in_no_doubt",
+        "tests/test_dialect.py::test_a_repeated_answer_leaves_the_next_outcome_known",
     ),
     Mutation(
         "a signal that interrupts no wait wakes the main task",
