--- a/bronzerelay/bundlecommands.py
+++ b/bronzerelay/bundlecommands.py
@@ -17,10 +17,10 @@
     Session,
     read_bundle,
     read_target,
-    takes,
+    with_options,
     write_examples,
 )
-from bronzerelay.outcomes import InForce, RolloutError
+from bronzerelay.outcomes import RolloutError, RolloutResult
 from bronzerelay.printing import DONE, list_changes, show, show_error
 from bronzerelay.rollout import Rollout
 from bronzerelay.types import Bundle, ConfigRecord
@@ -38,7 +38,7 @@
 
 @bundle.command(epilog=write_examples("bronzerelay bundle check bundle.toml"))
 @click.argument("file")
-@takes()
+@with_options()
 def check(session: Session, file: str) -> int:
     """Check FILE and list every mistake in it."""
     found = read_bundle(file)
@@ -60,7 +60,7 @@
 )
 @click.argument("target", metavar="FILE|DIGEST")
 @click.option("--against", type=int, help="A version; by default the one in force.")
-@takes(PLATFORM)
+@with_options(PLATFORM)
 def diff(session: Session, target: str, against: int | None) -> int:
     """Show how a bundle differs from what is in force."""
     rollout = session.open_rollout()
@@ -86,7 +86,7 @@
 
 @bundle.command(epilog=write_examples("bronzerelay bundle propose bundle.toml"))
 @click.argument("file")
-@takes(*SIGNER)
+@with_options(*SIGNER)
 def propose(session: Session, file: str) -> int:
     """Store the bundle of FILE for review, signed by you."""
     rollout = session.open_rollout()
@@ -98,7 +98,7 @@
 
 @bundle.command(epilog=write_examples("bronzerelay bundle sign sha256:3f..."))
 @click.argument("digest")
-@takes(*SIGNER)
+@with_options(*SIGNER)
 def sign(session: Session, digest: str) -> int:
     """Add your signature to the proposal with this DIGEST."""
     rollout = session.open_rollout()
@@ -142,7 +142,7 @@
 )
 @click.argument("target", metavar="FILE|DIGEST")
 @NO_WAIT
-@takes(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNER, *FLEET, WAIT)
 def rollout(session: Session, target: str, no_wait: bool) -> int:
     """Put a bundle in force and wait until every daemon has it.
 
@@ -159,7 +159,7 @@
     return wait_and_report(session, fleet, result.ok)
 
 
-def _put_in_force(control: Rollout, digest: str) -> Result[InForce, RolloutError]:
+def _put_in_force(control: Rollout, digest: str) -> Result[RolloutResult, RolloutError]:
     return control.put_in_force(digest).map_error(
         lambda error: _add_next_step(error, digest)
     )
@@ -187,7 +187,7 @@
     ),
 )
 @click.argument("version", default="", metavar="[VERSION|DIGEST]")
-@takes(PLATFORM)
+@with_options(PLATFORM)
 def show_version(session: Session, version: str) -> int:
     """Print a version as TOML, by default the one in force."""
     control = session.open_rollout()
@@ -223,7 +223,7 @@
     show_default=True,
     help="How many versions.",
 )
-@takes(PLATFORM)
+@with_options(PLATFORM)
 def history(session: Session, limit: int) -> int:
     """List the latest versions, the one in force first."""
     found = session.open_rollout().records.list_history(limit)
@@ -241,7 +241,7 @@
 @bundle.command(epilog=write_examples("bronzerelay bundle rollback 41"))
 @click.argument("version", type=click.IntRange(min=1))
 @NO_WAIT
-@takes(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNER, *FLEET, WAIT)
 def rollback(session: Session, version: int, no_wait: bool) -> int:
     """Make a new version with the content of an old VERSION.
 
--- a/bronzerelay/cli.py
+++ b/bronzerelay/cli.py
@@ -11,7 +11,7 @@
 from bronzerelay.fleet import Counters, DaemonState, find_unasked
 from bronzerelay.keycommands import key
 from bronzerelay.logcommands import changes, story, summary
-from bronzerelay.options import FLEET, Session, takes, write_examples
+from bronzerelay.options import FLEET, Session, with_options, write_examples
 from bronzerelay.printing import (
     DONE,
     FAILED,
@@ -51,7 +51,7 @@
         "bronzerelay status --output json",
     )
 )
-@takes(*FLEET)
+@with_options(*FLEET)
 def status(session: Session) -> int:
     """Show each daemon's version and what it knows of the database groups.
 
@@ -96,7 +96,7 @@
 
 
 @main.command(epilog=write_examples("bronzerelay counters --output json"))
-@takes(*FLEET)
+@with_options(*FLEET)
 def counters(session: Session) -> int:
     """Sum the daemons' counters of refusals, retries and events.
 
@@ -120,7 +120,7 @@
 
 @main.command(epilog=write_examples("bronzerelay explain 301"))
 @click.argument("code")
-@takes()
+@with_options()
 def explain(session: Session, code: str) -> int:
     """Explain a result CODE, given as its number or name."""
     found = _find_code(code)
@@ -152,7 +152,7 @@
     )
 )
 @click.argument("shell", type=click.Choice(SHELLS))
-@takes()
+@with_options()
 def completion(session: Session, shell: str) -> int:
     """Print the script that completes commands in a SHELL."""
     complete = get_completion_class(shell)(main, {}, PROGRAM, COMPLETE_VARIABLE)
--- a/bronzerelay/filecommands.py
+++ b/bronzerelay/filecommands.py
@@ -7,7 +7,13 @@
 from bronzerelay import edits
 from bronzerelay.bundlefile import Edit, edit_text, write_text
 from bronzerelay.codes import Code, refuse
-from bronzerelay.options import Session, read_bundle, read_file, takes, write_examples
+from bronzerelay.options import (
+    Session,
+    read_bundle,
+    read_file,
+    with_options,
+    write_examples,
+)
 from bronzerelay.outcomes import RolloutError, refuse_mistakes
 from bronzerelay.printing import DONE, show, show_error
 from bronzerelay.types import Bundle, EndpointEntry, WorkspaceEntry
@@ -81,7 +87,7 @@
     "list", epilog=write_examples("bronzerelay workspace list bundle.toml")
 )
 @FILE
-@takes()
+@with_options()
 def list_workspaces(session: Session, file: str) -> int:
     """List the workspaces of FILE."""
     found = read_bundle(file)
@@ -114,7 +120,7 @@
 @click.option("--rate", type=float, required=True, help="Requests a second.")
 @click.option("--burst", type=float, required=True, help="Requests at once.")
 @click.option("--group", "groups", multiple=True, help="A group; give several so.")
-@takes()
+@with_options()
 def add_workspace(
     session: Session,
     file: str,
@@ -145,7 +151,7 @@
 @click.argument("name")
 @click.argument("rate", type=float)
 @click.option("--burst", type=float, help="Requests at once; unchanged by default.")
-@takes()
+@with_options()
 def set_rate(
     session: Session, file: str, name: str, rate: float, burst: float | None
 ) -> int:
@@ -162,7 +168,7 @@
 )
 @FILE
 @click.argument("name")
-@takes()
+@with_options()
 def remove_workspace(session: Session, file: str, name: str) -> int:
     """Remove the workspace NAME with its keys from FILE."""
     missing = check_entry(session, file, "workspace", name)
@@ -185,7 +191,7 @@
     "list", epilog=write_examples("bronzerelay endpoint list bundle.toml")
 )
 @FILE
-@takes()
+@with_options()
 def list_endpoints(session: Session, file: str) -> int:
     """List the endpoints of FILE by group."""
     found = read_bundle(file)
@@ -223,7 +229,7 @@
 @click.option("--failure-domain", required=True, help="Where it runs.")
 @click.option("--slots", type=int, required=True, help="Statements at a time.")
 @click.option("--connections", type=int, required=True, help="Connections it takes.")
-@takes()
+@with_options()
 def add_endpoint(
     session: Session, file: str, group: str, name: str, **fields: Any
 ) -> int:
@@ -242,7 +248,7 @@
 )
 @FILE
 @click.argument("name")
-@takes()
+@with_options()
 def drain_endpoint(session: Session, file: str, name: str) -> int:
     """Mark the endpoint NAME of FILE as leaving, so that it gets no new work."""
     missing = check_entry(session, file, "endpoint", name)
@@ -258,7 +264,7 @@
 )
 @FILE
 @click.argument("name")
-@takes()
+@with_options()
 def remove_endpoint(session: Session, file: str, name: str) -> int:
     """Remove the endpoint NAME from FILE; drain it first."""
     missing = check_entry(session, file, "endpoint", name)
--- a/bronzerelay/fleet.py
+++ b/bronzerelay/fleet.py
@@ -57,7 +57,7 @@
         return self.status["config_version"] if self.status else None
 
 
-class Arrival(NamedTuple):
+class RolloutStatus(NamedTuple):
     """How far a version has come; `unasked` names live daemons not in the list."""
 
     version: int
@@ -104,8 +104,8 @@
         version: int,
         digest: str,
         timeout_ms: float,
-        report: Callable[[Arrival], None],
-    ) -> Arrival:
+        report: Callable[[RolloutStatus], None],
+    ) -> RolloutStatus:
         """Ask until every daemon has the version or a later one, or time is up.
 
         `report` is called after each round. A daemon that has the version with
@@ -181,10 +181,10 @@
     return DaemonState(state.address, problem=problem)
 
 
-def _judge(version: int, states: Iterable[DaemonState]) -> Arrival:
+def _judge(version: int, states: Iterable[DaemonState]) -> RolloutStatus:
     states = tuple(states)
     lacking = tuple(state for state in states if not has_version(state, version))
-    return Arrival(version, states, lacking, find_unasked(states))
+    return RolloutStatus(version, states, lacking, find_unasked(states))
 
 
 def find_unasked(states: Iterable[DaemonState]) -> tuple[str, ...]:
--- a/bronzerelay/following.py
+++ b/bronzerelay/following.py
@@ -2,21 +2,21 @@
 
 from typing import Any
 
-from bronzerelay.fleet import Arrival, Fleet
+from bronzerelay.fleet import Fleet, RolloutStatus
 from bronzerelay.options import Session
-from bronzerelay.outcomes import InForce
+from bronzerelay.outcomes import RolloutResult
 from bronzerelay.printing import (
     DONE,
     NOT_EVERYWHERE,
     Progress,
-    describe_arrival,
-    list_arrival_lines,
+    describe_rollout_status,
+    list_rollout_status_lines,
     show,
 )
 
 
 def wait_and_report(
-    session: Session, fleet: Fleet | None, in_force: InForce, done: str = ""
+    session: Session, fleet: Fleet | None, in_force: RolloutResult, done: str = ""
 ) -> int:
     """Wait for every daemon, print the outcome and return the exit code.
 
@@ -36,15 +36,15 @@
         show(session.output, data, lines)
         return DONE
     arrival = _wait(session, fleet, in_force)
-    data.update(describe_arrival(arrival))
-    lines += list_arrival_lines(arrival)
+    data.update(describe_rollout_status(arrival))
+    lines += list_rollout_status_lines(arrival)
     if done and arrival.is_complete:
         lines.append(done)
     show(session.output, data, lines)
     return DONE if arrival.is_complete else NOT_EVERYWHERE
 
 
-def _wait(session: Session, fleet: Fleet, in_force: InForce) -> Arrival:
+def _wait(session: Session, fleet: Fleet, in_force: RolloutResult) -> RolloutStatus:
     record = in_force.record
     with Progress(session.output) as progress:
         return fleet.wait_in_force(
--- a/bronzerelay/keycommands.py
+++ b/bronzerelay/keycommands.py
@@ -15,7 +15,7 @@
     SIGNER,
     WAIT,
     Session,
-    takes,
+    with_options,
     write_examples,
 )
 from bronzerelay.outcomes import RolloutError
@@ -37,7 +37,7 @@
     )
 )
 @click.option("--file", help="Where the private key goes; OPERATOR.key by default.")
-@takes(OPERATOR)
+@with_options(OPERATOR)
 def make(session: Session, file: str | None) -> int:
     """Make an operator's key pair for signing bundles."""
     name = session.settings.operator
@@ -79,7 +79,7 @@
 @click.argument("file")
 @click.argument("workspace")
 @click.argument("key_id", metavar="ID")
-@takes()
+@with_options()
 def grant(session: Session, file: str, workspace: str, key_id: str) -> int:
     """Add a key ID for WORKSPACE to FILE and print the key, this once."""
     missing = check_entry(session, file, "workspace", workspace)
@@ -107,7 +107,7 @@
 )
 @click.argument("workspace")
 @click.argument("key_id", metavar="ID")
-@takes(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNER, *FLEET, WAIT)
 def withdraw(session: Session, workspace: str, key_id: str) -> int:
     """Withdraw the key ID of WORKSPACE now, and wait until it has stopped.
 
--- a/bronzerelay/logcommands.py
+++ b/bronzerelay/logcommands.py
@@ -15,7 +15,7 @@
     summarize,
     write_plot,
 )
-from bronzerelay.options import Session, takes, write_examples
+from bronzerelay.options import Session, with_options, write_examples
 from bronzerelay.printing import DONE, show, show_refusal
 
 # A request's story also includes context: what its daemons logged about their state
@@ -86,7 +86,7 @@
 )
 @click.argument("request")
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace"))
-@takes()
+@with_options()
 def story(session: Session, request: str, logs: tuple[TextIO, ...]) -> int:
     """Show from LOGS (or standard input) what happened to REQUEST, and why.
 
@@ -99,7 +99,7 @@
 @click.command(epilog=write_examples("bronzerelay changes --service orders *.log"))
 @click.option("--service", help="Only primary changes of this service.")
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace"))
-@takes()
+@with_options()
 def changes(session: Session, service: str | None, logs: tuple[TextIO, ...]) -> int:
     """Show the primary changes that LOGS (or standard input) report, in order."""
     selected = select_changes(_open_logs(logs), service)
@@ -135,7 +135,7 @@
     help="PNG file to plot the counts into; needs matplotlib.",
 )
 @click.argument("logs", nargs=-1, type=click.File("r", errors="replace"))
-@takes()
+@with_options()
 def summary(
     session: Session,
     by: str,
--- a/bronzerelay/options.py
+++ b/bronzerelay/options.py
@@ -157,7 +157,7 @@
             raise click.UsageError(message) from None
 
 
-def takes(*names: str) -> Callable:
+def with_options(*names: str) -> Callable:
     """Return a decorator that adds options and hands in a Session first.
 
     The command returns its exit code.
--- a/bronzerelay/outcomes.py
+++ b/bronzerelay/outcomes.py
@@ -49,7 +49,7 @@
     mistakes: tuple[Mistake, ...] = ()
 
 
-class InForce(NamedTuple):
+class RolloutResult(NamedTuple):
     """A version that is in force, or was until `replaced_by`; notes are for people."""
 
     record: ConfigRecord
@@ -64,10 +64,10 @@
     left_out: tuple[str, ...]
 
 
-def tell_replaced(record: ConfigRecord, by: ConfigRecord) -> InForce:
+def tell_replaced(record: ConfigRecord, by: ConfigRecord) -> RolloutResult:
     """Return that the record was in force until `by` replaced it."""
     note = f"version {by['version']} of {by['author']} has replaced it since"
-    return InForce(record, (note,), by["version"])
+    return RolloutResult(record, (note,), by["version"])
 
 
 def check_version(bundle: Bundle, current: Current) -> Result[None, RolloutError]:
--- a/bronzerelay/printing.py
+++ b/bronzerelay/printing.py
@@ -12,7 +12,7 @@
 
 from bronzerelay.bundle import Change
 from bronzerelay.codes import CODES, Code, Refusal
-from bronzerelay.fleet import Arrival, DaemonState, has_version
+from bronzerelay.fleet import DaemonState, RolloutStatus, has_version
 from bronzerelay.outcomes import Rival, RolloutError
 from bronzerelay.schema import Mistake
 
@@ -137,7 +137,7 @@
     return ", ".join(parts)
 
 
-def describe_arrival(arrival: Arrival) -> dict[str, Any]:
+def describe_rollout_status(arrival: RolloutStatus) -> dict[str, Any]:
     """Return how far a version has come, as JSON shows it."""
     return {
         "version": arrival.version,
@@ -156,7 +156,7 @@
     }
 
 
-def list_arrival_lines(arrival: Arrival) -> list[str]:
+def list_rollout_status_lines(arrival: RolloutStatus) -> list[str]:
     """Return where the version is in force and where it isn't."""
     count = len(arrival.states) - len(arrival.lacking)
     lines = [
@@ -190,12 +190,12 @@
         if self._live:
             self._live.stop()
 
-    def report(self, arrival: Arrival) -> None:
+    def report(self, arrival: RolloutStatus) -> None:
         """Show one round of questions."""
         if self._output == JSON:
             return
         if self._live:
-            self._live.update(draw_arrival(arrival), refresh=True)
+            self._live.update(draw_rollout_status(arrival), refresh=True)
             return
         for state in arrival.states:
             if has_version(state, arrival.version) and state.name not in self._shown:
@@ -203,7 +203,7 @@
                 click.echo(f"{state.name}: version {state.version}", err=True)
 
 
-def draw_arrival(arrival: Arrival) -> Table:
+def draw_rollout_status(arrival: RolloutStatus) -> Table:
     """Return the table of a rollout."""
     count = len(arrival.states) - len(arrival.lacking)
     title = f"version {arrival.version}: {count} of {len(arrival.states)} daemons"
--- a/bronzerelay/rollout.py
+++ b/bronzerelay/rollout.py
@@ -9,9 +9,9 @@
 from bronzerelay.codes import NOT_RUN, UNKNOWN, Code, Refusal
 from bronzerelay.outcomes import (
     Current,
-    InForce,
     RolledBack,
     RolloutError,
+    RolloutResult,
     check_version,
     fail,
     fail_before,
@@ -198,7 +198,7 @@
 
     # Putting in force
 
-    def put_in_force(self, digest: str) -> Result[InForce, RolloutError]:
+    def put_in_force(self, digest: str) -> Result[RolloutResult, RolloutError]:
         """Put a proposal in force when it is signed and next in version."""
         current = self.records.read_current()
         if current.is_error():
@@ -206,7 +206,9 @@
         if current.ok.record and current.ok.digest == digest:
             self.records.fill_history(current.ok)
             author = current.ok.record["author"]
-            return Ok(InForce(current.ok.record, (f"in force already, by {author}",)))
+            return Ok(
+                RolloutResult(current.ok.record, (f"in force already, by {author}",))
+            )
         return self.records.read_proposal(digest).bind(
             lambda record: self._replace(record, current.ok, check_signatures)
         )
@@ -216,7 +218,7 @@
         record: ConfigRecord,
         current: Current,
         check: Callable[[ConfigRecord, Bundle | None], Result[None, Refusal]],
-    ) -> Result[InForce, RolloutError]:
+    ) -> Result[RolloutResult, RolloutError]:
         """Swap the record for what is in force, then write it into the history."""
         fits = check_version(record["bundle"], current)
         if fits.is_error():
@@ -237,16 +239,16 @@
 
     def _record_history(
         self, record: ConfigRecord, *notes: str
-    ) -> Result[InForce, RolloutError]:
+    ) -> Result[RolloutResult, RolloutError]:
         filled = self.records.fill_history(Current(record, 0))
         if filled.is_error():
             late = "the history lacks this version; the next command adds it"
-            return Ok(InForce(record, (*notes, late)))
-        return Ok(InForce(record, notes))
+            return Ok(RolloutResult(record, (*notes, late)))
+        return Ok(RolloutResult(record, notes))
 
     def _resolve(
         self, record: ConfigRecord, refusal: Refusal
-    ) -> Result[InForce, RolloutError]:
+    ) -> Result[RolloutResult, RolloutError]:
         """Find out what became of a swap that was refused or got no answer.
 
         Told "failed" while the bundle is in force, an operator would write the next
@@ -272,7 +274,7 @@
 
     def _tell_equal(
         self, record: ConfigRecord, found: ConfigRecord
-    ) -> Result[InForce, RolloutError]:
+    ) -> Result[RolloutResult, RolloutError]:
         if found["author"] == record["author"]:
             return self._record_history(found)
         note = f"{found['author']} has put the same bundle in force"
@@ -327,7 +329,9 @@
 
     # Withdrawing a key
 
-    def withdraw(self, workspace: str, key_id: str) -> Result[InForce, RolloutError]:
+    def withdraw(
+        self, workspace: str, key_id: str
+    ) -> Result[RolloutResult, RolloutError]:
         """Put a version in force that lacks the key and is otherwise the same.
 
         It only takes a right away, so one operator's signature is enough, and a lost
@@ -348,7 +352,7 @@
 
     def _swap_without(
         self, workspace: str, key_id: str, current: Current
-    ) -> Result[InForce, RolloutError]:
+    ) -> Result[RolloutResult, RolloutError]:
         bundle = remove_key(current.bundle, workspace, key_id)
         signed = self._add_signature(self._make_record(bundle), current.bundle)
         return signed.bind(
@@ -357,7 +361,7 @@
 
     def _find_withdrawal(
         self, workspace: str, key_id: str, current: Current
-    ) -> Result[InForce, RolloutError]:
+    ) -> Result[RolloutResult, RolloutError]:
         """Return the version that withdrew the key, by whomever it was.
 
         A command whose answer was lost, or that has waited in vain for a daemon, is
@@ -373,7 +377,7 @@
             entry = find_workspace(found.ok["bundle"], workspace)
             if entry and key_id in [key["id"] for key in entry["keys"]]:
                 note = f"version {after['version']} of {after['author']} withdrew it"
-                return Ok(InForce(after, (note,)))
+                return Ok(RolloutResult(after, (note,)))
             after = found.ok
         entry = find_workspace(current.bundle, workspace)
         if entry is None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,8 +5,8 @@
 import pytest
 from rich.console import Console
 
-from bronzerelay.fleet import Arrival, DaemonState, Fleet, find_unasked
-from bronzerelay.printing import draw_arrival
+from bronzerelay.fleet import DaemonState, Fleet, RolloutStatus, find_unasked
+from bronzerelay.printing import draw_rollout_status
 from bronzerelay.records import CURRENT_KEY
 from bronzerelay.runtime import Address
 from tests.builders_config import make_bundle, make_record
@@ -64,7 +64,7 @@
     )
     page = io.StringIO()
     Console(file=page, width=160).print(
-        draw_arrival(Arrival(1, states, states[1:], ()))
+        draw_rollout_status(RolloutStatus(1, states, states[1:], ()))
     )
     for text in ("version 1: 1 of 2 daemons", "vm-1", "in force", "silent"):
         assert text in page.getvalue()
