--- a/bronzerelay/bundle.py
+++ b/bronzerelay/bundle.py
@@ -15,13 +15,13 @@
 from bronzerelay.schema import (
     Field,
     Mistake,
-    check_flag,
+    check_boolean,
     check_integer,
     check_list,
     check_number,
+    check_parsed_text,
     check_table,
     check_text,
-    check_text_by,
     join_field,
     join_item,
 )
@@ -42,32 +42,32 @@
 DEFAULT_MAX_AGE_MS = 10_000
 MAX_VERSION = 2**53 - 1
 MAX_RATE = 1_000_000
-MAX_AGE_MS = 24 * 60 * 60 * 1000
+MAX_AGE_LIMIT_MS = 24 * 60 * 60 * 1000
 MAX_SLOTS = 10_000
-# The platform holds 1 MiB; signatures and the record around them need some of it.
+# The platform stores values of up to 1 MiB, and the record adds signatures and fields.
 MAX_BUNDLE_BYTES = 1000 * 1024
 MIN_OPERATORS = 2
-SHOWN_MISTAKES = 20
+MAX_LISTED_MISTAKES = 20
 
 
 class Change(NamedTuple):
-    """A difference between two bundles; None stands for what isn't there."""
+    """A difference between two bundles; None stands for a missing value."""
 
     path: str
     old: Any
     new: Any
 
 
-def read_ip_address(text: str) -> Address:
-    """Return the IPv4 address and port that `text` names, or raise ValueError.
+def parse_ip_address(text: str) -> Address:
+    """Return the IPv4 address and port in `text`, or raise ValueError.
 
-    Only one way of writing an address is taken: otherwise one endpoint, written in
-    two ways, would count as two towards a majority.
+    Only the canonical form is accepted: otherwise one endpoint, written in two ways,
+    would count as two towards a majority.
     """
     address = parse_address(text)
     ipaddress.IPv4Address(address.host)
     if str(address) != text or address.port == 0:
-        raise ValueError(f"{text!r} isn't in its usual form")
+        raise ValueError(f"{text!r} isn't in canonical form")
     return address
 
 
@@ -77,7 +77,9 @@
 )
 KEY_HASH = check_text(r"sha256:[0-9a-f]{64}", "sha256: and 64 digits of 0-9a-f")
 PUBLIC_KEY = check_text(r"ed25519:[0-9a-f]{64}", "ed25519: and 64 digits of 0-9a-f")
-ADDRESS = check_text_by(read_ip_address, "an IPv4 number and a port, as 10.0.0.1:5432")
+ADDRESS = check_parsed_text(
+    parse_ip_address, "an IPv4 number and a port, as 10.0.0.1:5432"
+)
 COUNT = check_integer(1, MAX_SLOTS)
 RATE = check_number(
     lambda rate: 0 < rate <= MAX_RATE, f"requests a second above 0, up to {MAX_RATE}"
@@ -93,14 +95,14 @@
         "failure_domain": Field(NAME),
         "slots": Field(COUNT),
         "connections": Field(COUNT),
-        "leaving": Field(check_flag, required=False),
+        "leaving": Field(check_boolean, required=False),
     }
 )
 GROUP = check_table(
     {
         "name": Field(NAME),
         "endpoints": Field(check_list(ENDPOINT, low=1)),
-        "max_age_ms": Field(check_integer(0, MAX_AGE_MS), required=False),
+        "max_age_ms": Field(check_integer(0, MAX_AGE_LIMIT_MS), required=False),
     }
 )
 KEY = check_table({"id": Field(NAME), "hash": Field(KEY_HASH)})
@@ -133,8 +135,8 @@
     allowed = "TOML 1.0, as docs/CONFIGURATION.md shows"
     try:
         data = tomllib.loads(text)
-    # Besides its own error, tomllib raises ValueError for a number of too many
-    # digits, and lets brackets nested by the thousand end in a RecursionError.
+    # tomllib's own error is a ValueError. It also raises a plain ValueError for a
+    # number with too many digits and a RecursionError for thousands of nested brackets.
     except ValueError as error:
         return Error([Mistake("", f"can't be read: {error}", allowed)])
     except RecursionError:
@@ -146,7 +148,7 @@
 
 
 def check_bundle(data: Any) -> list[Mistake]:
-    """Return every mistake of a decoded bundle; no mistakes make it a Bundle."""
+    """Return every mistake of a decoded bundle; without mistakes it is a Bundle."""
     mistakes: list[Mistake] = []
     BUNDLE("", data, mistakes)
     _check_unique_names(data, mistakes)
@@ -158,7 +160,7 @@
 
 
 def _list_tables(path: str, table: Any, name: str) -> Iterator[tuple[str, dict]]:
-    """Yield path and table of each item of a list that may be malformed."""
+    """Yield the path and table of each item of a list, skipping malformed items."""
     where = join_field(path, name)
     items = table.get(name) if isinstance(table, dict) else None
     for index, item in enumerate(items if isinstance(items, list) else ()):
@@ -179,7 +181,7 @@
 def _check_unique(
     items: Iterator[tuple[str, dict]], field: str, mistakes: list[Mistake]
 ) -> None:
-    """Report each text in `field` that an earlier item holds already."""
+    """Report each text in `field` that an earlier item already has."""
     seen: dict[str, str] = {}
     for path, item in items:
         value = item.get(field)
@@ -195,16 +197,16 @@
 def _check_unique_names(data: Any, mistakes: list[Mistake]) -> None:
     _check_unique(_list_tables("", data, "groups"), "name", mistakes)
     _check_unique(_list_endpoints(data), "name", mistakes)
-    # An endpoint listed twice would count twice towards the majority of its group,
-    # and one entry in two groups would mix their rows.
+    # An endpoint listed twice in a group would count twice towards its majority, and
+    # one listed in two groups would mix their rows.
     _check_unique(_list_endpoints(data), "address", mistakes)
     _check_unique(_list_tables("", data, "workspaces"), "name", mistakes)
     for path, workspace in _list_tables("", data, "workspaces"):
         _check_unique(_list_tables(path, workspace, "keys"), "id", mistakes)
-    # With a key in two workspaces nobody could tell for which one a request runs.
+    # A key in two workspaces wouldn't tell which workspace a request belongs to.
     _check_unique(_list_keys(data), "hash", mistakes)
     _check_unique(_list_tables("", data, "operators"), "name", mistakes)
-    # One person under two names could give both signatures of a bundle.
+    # One person with two names could give both signatures that a bundle needs.
     _check_unique(_list_tables("", data, "operators"), "public_key", mistakes)
 
 
@@ -212,8 +214,8 @@
     for path, endpoint in _list_endpoints(data):
         slots = endpoint.get("slots")
         connections = endpoint.get("connections")
-        numbers = isinstance(slots, int) and isinstance(connections, int)
-        if numbers and slots > connections:
+        are_integers = isinstance(slots, int) and isinstance(connections, int)
+        if are_integers and slots > connections:
             where = join_field(path, "slots")
             message = "is more than the endpoint's connections"
             mistakes.append(Mistake(where, message, "at most its connections"))
@@ -226,9 +228,9 @@
 
 
 def _list_group_names(data: Any) -> set[str] | None:
-    """Return the names of the groups; None when not all of them can be read.
+    """Return the names of the groups; None if any of them is malformed.
 
-    One mistake in a group would otherwise be reported again at each workspace.
+    Otherwise one mistake in a group would be reported again at each workspace.
     """
     groups = data.get("groups") if isinstance(data, dict) else None
     if not isinstance(groups, list):
@@ -240,7 +242,7 @@
 
 
 def _check_workspaces(data: Any, mistakes: list[Mistake]) -> None:
-    known = _list_group_names(data)
+    group_names = _list_group_names(data)
     for path, workspace in _list_tables("", data, "workspaces"):
         groups = workspace.get("groups")
         names = groups if isinstance(groups, list) else []
@@ -249,7 +251,7 @@
             if not isinstance(name, str):
                 continue
             where = f"{join_field(path, 'groups')}[{index}]"
-            if known is not None and name not in known:
+            if group_names is not None and name not in group_names:
                 allowed = "the name of a group of this bundle"
                 mistakes.append(Mistake(where, "names no group", allowed))
             if name in seen:
@@ -270,7 +272,7 @@
 def normalize_bundle(bundle: Bundle) -> Bundle:
     """Return the bundle with rates and bursts as floats.
 
-    TOML tells 5 from 5.0, and so would the digest, although nothing else does.
+    TOML distinguishes 5 from 5.0, which would change the digest but nothing else.
     """
     workspaces = [
         {**entry, "rate": float(entry["rate"]), "burst": float(entry["burst"])}
@@ -294,7 +296,7 @@
 
 
 def diff_bundles(old: Bundle | None, new: Bundle) -> list[Change]:
-    """Return each difference, sorted by path; items of lists go by their names."""
+    """Return each difference, sorted by path; items of lists are matched by name."""
     before = dict(_flatten("", old or {}))
     after = dict(_flatten("", new))
     paths = sorted(before.keys() | after.keys())
@@ -306,7 +308,7 @@
 
 
 def _flatten(path: str, value: Any) -> Iterator[tuple[str, Any]]:
-    """Yield path and value of each leaf."""
+    """Yield the path and value of each leaf."""
     if isinstance(value, dict):
         for name, part in value.items():
             yield from _flatten(join_field(path, name), part)
@@ -318,14 +320,14 @@
         yield path, value
 
 
-def check_step(old: Bundle | None, new: Bundle) -> list[Mistake]:
+def check_transition(old: Bundle | None, new: Bundle) -> list[Mistake]:
     """Return the mistakes of `new` as the bundle that follows `old`.
 
     A write is acknowledged once a majority of its group's endpoints holds it, and a
-    promotion finds it because any two majorities share an endpoint. When too many
-    endpoints change in one step, a majority of the new ones may hold none of the
-    group's last writes; they would be lost without an error. So each majority of the
-    old endpoints must meet each majority of the new ones.
+    promotion finds it because any two majorities share an endpoint. If too many
+    endpoints change in one version, a majority of the new ones may lack the group's
+    last writes, which would be lost without an error. So each majority of the old
+    endpoints must overlap each majority of the new ones.
     """
     if old is None:
         return []
@@ -336,15 +338,15 @@
     groups = {group["name"]: group for group in old["groups"]}
     for index, group in enumerate(new["groups"]):
         before = groups.get(group["name"])
-        if before is not None and not _share_majorities(before, group):
+        if before is not None and not _majorities_overlap(before, group):
             path = join_field(join_item("groups", index, group), "endpoints")
             allowed = "one endpoint more or less with each version"
             mistakes.append(Mistake(path, "change too much at once", allowed))
     return mistakes
 
 
-def _share_majorities(old: GroupEntry, new: GroupEntry) -> bool:
-    # An endpoint under another address may be a new one with nothing in it.
+def _majorities_overlap(old: GroupEntry, new: GroupEntry) -> bool:
+    # An endpoint whose address has changed may be a new, empty instance.
     before = {(item["name"], item["address"]) for item in old["endpoints"]}
     after = {(item["name"], item["address"]) for item in new["endpoints"]}
     majorities = (len(before) // 2 + 1) + (len(after) // 2 + 1)
@@ -355,10 +357,10 @@
 
 
 def check_record(data: Any) -> Result[ConfigRecord, Refusal]:
-    """Return the record when its bundle has no mistakes and its digest is true.
+    """Return the record if its bundle has no mistakes and its digest is correct.
 
-    Records come from the platform and from peers. A daemon that took one unread
-    could fall over half-way through putting it in force.
+    Records come from the platform and from peers. A daemon that accepted one
+    unchecked could fail half-way through putting it in force.
     """
     try:
         record = msgspec.convert(data, ConfigRecord)
@@ -366,8 +368,10 @@
         return refuse(Code.BUNDLE_INVALID, f"the record is malformed: {error}")
     mistakes = check_bundle(data["bundle"])
     if mistakes:
-        shown = "; ".join(f"{m.path} {m.message}" for m in mistakes[:SHOWN_MISTAKES])
-        return refuse(Code.BUNDLE_INVALID, f"the bundle has mistakes: {shown}")
+        summary = "; ".join(
+            f"{m.path} {m.message}" for m in mistakes[:MAX_LISTED_MISTAKES]
+        )
+        return refuse(Code.BUNDLE_INVALID, f"the bundle has mistakes: {summary}")
     if record["digest"] != digest_bundle(record["bundle"]):
         return refuse(Code.BUNDLE_INVALID, "the digest isn't that of the bundle")
     if record["version"] != record["bundle"]["version"]:
@@ -399,7 +403,7 @@
 def _compile_endpoint(entry: EndpointEntry) -> EndpointSpec:
     return EndpointSpec(
         name=entry["name"],
-        address=read_ip_address(entry["address"]),
+        address=parse_ip_address(entry["address"]),
         failure_domain=entry["failure_domain"],
         slots=entry["slots"],
         connections=entry["connections"],
--- a/bronzerelay/outcomes.py
+++ b/bronzerelay/outcomes.py
@@ -4,7 +4,7 @@
 
 from expression import Error, Ok, Result
 
-from bronzerelay.bundle import Change, check_step, diff_bundles
+from bronzerelay.bundle import Change, check_transition, diff_bundles
 from bronzerelay.codes import NOT_RUN, Code, Refusal, refuse
 from bronzerelay.schema import Mistake
 from bronzerelay.types import Bundle, ConfigRecord
@@ -77,7 +77,7 @@
     """
     wanted = current.version + 1
     if bundle["version"] == wanted:
-        mistakes = check_step(current.bundle, bundle)
+        mistakes = check_transition(current.bundle, bundle)
         return refuse_mistakes(mistakes) if mistakes else Ok(None)
     if bundle["version"] < wanted:
         return refuse_rival(bundle, current)
--- a/bronzerelay/schema.py
+++ b/bronzerelay/schema.py
@@ -1,10 +1,10 @@
-"""Checks of decoded tables that report every mistake, each with its path."""
+"""Checks of decoded TOML tables that report every mistake, each with its path."""
 
 import re
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-SHOWN_CHARACTERS = 40
+MAX_QUOTED_CHARACTERS = 40
 
 
 class Mistake(NamedTuple):
@@ -15,41 +15,45 @@
     allowed: str
 
 
-# Adds the mistakes of the value at a path to a list.
+# Checks the value at a path and appends its mistakes to a list.
 Check = Callable[[str, Any, list[Mistake]], None]
 
 
 class Field(NamedTuple):
-    """A field of a table."""
+    """A field of a table: the check of its value, and whether it must be there."""
 
     check: Check
     required: bool = True
 
 
 def check_text(pattern: str, allowed: str) -> Check:
-    """Return a check for text that matches the whole of `pattern`."""
+    """Return a check for text that matches `pattern` from start to end."""
     expression = re.compile(pattern)
 
     def check(path: str, value: Any, mistakes: list[Mistake]) -> None:
         if not isinstance(value, str):
-            mistakes.append(Mistake(path, f"is {name_type(value)}, not text", allowed))
+            mistakes.append(
+                Mistake(path, f"is {describe_type(value)}, not text", allowed)
+            )
         elif not expression.fullmatch(value):
-            mistakes.append(Mistake(path, f"{show(value)} isn't allowed", allowed))
+            mistakes.append(Mistake(path, f"{quote(value)} isn't allowed", allowed))
 
     return check
 
 
-def check_text_by(read: Callable[[str], Any], allowed: str) -> Check:
-    """Return a check for text that `read` takes without a ValueError."""
+def check_parsed_text(parse: Callable[[str], Any], allowed: str) -> Check:
+    """Return a check for text that `parse` accepts without a ValueError."""
 
     def check(path: str, value: Any, mistakes: list[Mistake]) -> None:
         if not isinstance(value, str):
-            mistakes.append(Mistake(path, f"is {name_type(value)}, not text", allowed))
+            mistakes.append(
+                Mistake(path, f"is {describe_type(value)}, not text", allowed)
+            )
             return
         try:
-            read(value)
+            parse(value)
         except ValueError:
-            mistakes.append(Mistake(path, f"{show(value)} isn't allowed", allowed))
+            mistakes.append(Mistake(path, f"{quote(value)} isn't allowed", allowed))
 
     return check
 
@@ -60,7 +64,7 @@
 
     def check(path: str, value: Any, mistakes: list[Mistake]) -> None:
         if not isinstance(value, int) or isinstance(value, bool):
-            message = f"is {name_type(value)}, not an integer"
+            message = f"is {describe_type(value)}, not an integer"
             mistakes.append(Mistake(path, message, allowed))
         elif not low <= value <= high:
             mistakes.append(Mistake(path, "is out of range", allowed))
@@ -69,15 +73,15 @@
 
 
 def check_number(in_range: Callable[[float], bool], allowed: str) -> Check:
-    """Return a check for an integer or a float that `in_range` takes.
+    """Return a check for an integer or a float for which `in_range` is true.
 
-    `in_range` compares with two bounds, so that it is false of nan and infinity, which
-    TOML can write.
+    `in_range` must compare with a lower and an upper bound, so that it rejects nan and
+    infinity, which TOML allows.
     """
 
     def check(path: str, value: Any, mistakes: list[Mistake]) -> None:
         if not isinstance(value, int | float) or isinstance(value, bool):
-            message = f"is {name_type(value)}, not a number"
+            message = f"is {describe_type(value)}, not a number"
             mistakes.append(Mistake(path, message, allowed))
         elif not in_range(value):
             mistakes.append(Mistake(path, "is out of range", allowed))
@@ -85,43 +89,43 @@
     return check
 
 
-def check_flag(path: str, value: Any, mistakes: list[Mistake]) -> None:
+def check_boolean(path: str, value: Any, mistakes: list[Mistake]) -> None:
     """Check that the value is a boolean."""
     if not isinstance(value, bool):
-        message = f"is {name_type(value)}, not a boolean"
+        message = f"is {describe_type(value)}, not a boolean"
         mistakes.append(Mistake(path, message, "true or false"))
 
 
-def check_list(item: Check, low: int = 0, high: int = 100_000) -> Check:
-    """Return a check for a list of `low` to `high` items that `item` checks."""
+def check_list(check_item: Check, low: int = 0, high: int = 100_000) -> Check:
+    """Return a check for a list of `low` to `high` items, each passing `check_item`."""
     allowed = f"a list of {low} to {high} items"
 
     def check(path: str, value: Any, mistakes: list[Mistake]) -> None:
         if not isinstance(value, list):
-            message = f"is {name_type(value)}, not a list"
+            message = f"is {describe_type(value)}, not a list"
             mistakes.append(Mistake(path, message, allowed))
             return
         if not low <= len(value) <= high:
             mistakes.append(Mistake(path, f"has {len(value)} items", allowed))
-        for index, part in enumerate(value):
-            item(join_item(path, index, part), part, mistakes)
+        for index, element in enumerate(value):
+            check_item(join_item(path, index, element), element, mistakes)
 
     return check
 
 
 def check_table(fields: dict[str, Field]) -> Check:
     """Return a check for a table with these fields and no others."""
-    known = ", ".join(fields)
+    field_names = ", ".join(fields)
 
     def check(path: str, value: Any, mistakes: list[Mistake]) -> None:
         if not isinstance(value, dict):
-            message = f"is {name_type(value)}, not a table"
-            mistakes.append(Mistake(path, message, f"a table with {known}"))
+            message = f"is {describe_type(value)}, not a table"
+            mistakes.append(Mistake(path, message, f"a table with {field_names}"))
             return
         for name in value:
             if name not in fields:
-                where = join_field(path, show(name).strip("'\""))
-                mistakes.append(Mistake(where, "is an unknown field", known))
+                where = join_field(path, quote(name).strip("'\""))
+                mistakes.append(Mistake(where, "is an unknown field", field_names))
         for name, field in fields.items():
             where = join_field(path, name)
             if name in value:
@@ -144,18 +148,18 @@
         label = value.get("name") or value.get("id")
     if not isinstance(label, str) or not label:
         return f"{path}[{index}]"
-    return f"{path}[{index}:{show(label)[1:-1]}]"
+    return f"{path}[{index}:{quote(label)[1:-1]}]"
 
 
-def show(value: str) -> str:
-    """Return the beginning of a text in quotes, in printable ASCII."""
-    if len(value) <= SHOWN_CHARACTERS:
+def quote(value: str) -> str:
+    """Return the text in quotes and in printable ASCII, cut off when it is long."""
+    if len(value) <= MAX_QUOTED_CHARACTERS:
         return ascii(value)
-    return ascii(value[:SHOWN_CHARACTERS] + "...")
+    return ascii(value[:MAX_QUOTED_CHARACTERS] + "...")
 
 
-def name_type(value: Any) -> str:
-    """Return what TOML calls the value's type."""
+def describe_type(value: Any) -> str:
+    """Return the value's type with an article, as messages name it."""
     if isinstance(value, bool):
         return "a boolean"
     names = {
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -16,7 +16,7 @@
     Change,
     check_bundle,
     check_record,
-    check_step,
+    check_transition,
     compile_bundle,
     diff_bundles,
     digest_bundle,
@@ -261,11 +261,11 @@
         return make_bundle(version, groups=[{"name": "orders", "endpoints": endpoints}])
 
     old = make(1, "abc")
-    assert list_paths(check_step(old, make(2, names))) == (
+    assert list_paths(check_transition(old, make(2, names))) == (
         [] if allowed else ["groups[0].endpoints"]
     )
-    assert list_paths(check_step(old, make(1, "abc"))) == ["version"]
-    assert check_step(None, old) == []
+    assert list_paths(check_transition(old, make(1, "abc"))) == ["version"]
+    assert check_transition(None, old) == []
 
 
 def test_compiling_fills_in_what_was_left_out():
