--- a/bronzerelay/bundlecommands.py
+++ b/bronzerelay/bundlecommands.py
@@ -257,7 +257,7 @@
     if result.is_error():
         return show_error(session.output, result.error)
     notes = result.ok.notes
-    if made.ok.left_out:
-        names = ", ".join(made.ok.left_out)
+    if made.ok.omitted_keys:
+        names = ", ".join(made.ok.omitted_keys)
         notes = (*notes, f"withdrawn since, so not brought back: {names}")
     return wait_and_report(session, fleet, result.ok._replace(notes=notes))
--- a/bronzerelay/outcomes.py
+++ b/bronzerelay/outcomes.py
@@ -1,4 +1,4 @@
-"""What the operators' commands come to: a version in force, or why not."""
+"""The results of operators' commands: a version in force, or the reason for failure."""
 
 from typing import Any, NamedTuple
 
@@ -10,15 +10,15 @@
 from bronzerelay.types import Bundle, ConfigRecord
 
 
-class Current(NamedTuple):
-    """The record in force with its revision; None and 0 before the first."""
+class CurrentRecord(NamedTuple):
+    """The record in force with its store revision; None and 0 if there is none yet."""
 
     record: ConfigRecord | None
     revision: int
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the version in force, 0 if there is none yet."""
         return self.record["version"] if self.record else 0
 
     @property
@@ -28,12 +28,12 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest in force, or nothing."""
+        """Return the digest in force, or ""."""
         return self.record["digest"] if self.record else ""
 
 
 class Rival(NamedTuple):
-    """The version that came first, and how the refused bundle differs from it."""
+    """The version in force that a bundle lost to, and the bundle's changes to it."""
 
     version: int
     author: str
@@ -42,7 +42,7 @@
 
 
 class RolloutError(NamedTuple):
-    """Why a command failed; `rival` tells who won, `mistakes` what to correct."""
+    """Why a command failed, with the version it lost to and the mistakes to correct."""
 
     refusal: Refusal
     rival: Rival | None = None
@@ -50,46 +50,51 @@
 
 
 class RolloutResult(NamedTuple):
-    """A version that is in force, or was until `replaced_by`; notes are for people."""
+    """A version that is in force, or was until version `replaced_by` replaced it.
+
+    `notes` are sentences to print.
+    """
 
     record: ConfigRecord
     notes: tuple[str, ...] = ()
     replaced_by: int = 0
 
 
-class RolledBack(NamedTuple):
-    """The proposal of a rollback, and the withdrawn keys that it leaves out."""
+class RollbackProposal(NamedTuple):
+    """The proposal that a rollback made, and the withdrawn keys that it omits."""
 
     record: ConfigRecord
-    left_out: tuple[str, ...]
+    omitted_keys: tuple[str, ...]
 
 
-def tell_replaced(record: ConfigRecord, by: ConfigRecord) -> RolloutResult:
-    """Return that the record was in force until `by` replaced it."""
+def report_replaced(record: ConfigRecord, by: ConfigRecord) -> RolloutResult:
+    """Return the result of a rollout whose record `by` has replaced since."""
     note = f"version {by['version']} of {by['author']} has replaced it since"
     return RolloutResult(record, (note,), by["version"])
 
 
-def check_version(bundle: Bundle, current: Current) -> Result[None, RolloutError]:
-    """Return Ok when the bundle may follow the one in force as its next version.
+def check_version(bundle: Bundle, current: CurrentRecord) -> Result[None, RolloutError]:
+    """Return Ok if the bundle may replace the one in force as its next version.
 
-    A bundle written against an older version would undo what has changed since.
+    A bundle written against an older version would revert the changes made since.
     """
-    wanted = current.version + 1
-    if bundle["version"] == wanted:
+    next_version = current.version + 1
+    if bundle["version"] == next_version:
         mistakes = check_transition(current.bundle, bundle)
         return refuse_mistakes(mistakes) if mistakes else Ok(None)
-    if bundle["version"] < wanted:
-        return refuse_rival(bundle, current)
+    if bundle["version"] < next_version:
+        return refuse_outdated(bundle, current)
     message = (
         f"the bundle is version {bundle['version']}; with version {current.version} "
-        f"in force the next one is {wanted}"
+        f"in force the next one is {next_version}"
     )
     return refuse_command(Code.BUNDLE_INVALID, message)
 
 
-def refuse_rival(bundle: Bundle, current: Current) -> Result[Any, RolloutError]:
-    """Return the error that tells who won and how `bundle` differs."""
+def refuse_outdated(
+    bundle: Bundle, current: CurrentRecord
+) -> Result[Any, RolloutError]:
+    """Return the error that names the version in force and how `bundle` differs."""
     record = current.record
     message = (
         f"version {current.version} of {record['author']} is in force, so that "
@@ -123,6 +128,6 @@
     return Error(RolloutError(refusal))
 
 
-def fail_before(refusal: Refusal) -> Result[Any, RolloutError]:
-    """Return the refusal of a step before the change itself, which hasn't run."""
+def fail_not_run(refusal: Refusal) -> Result[Any, RolloutError]:
+    """Return the error for a step before the change, so that the change hasn't run."""
     return fail(refusal._replace(ran=NOT_RUN))
--- a/bronzerelay/records.py
+++ b/bronzerelay/records.py
@@ -1,4 +1,4 @@
-"""The records of bundles in the platform: in force, proposed and of old."""
+"""The records of bundles in the platform: the current one, proposals and history."""
 
 from typing import Any
 
@@ -7,10 +7,10 @@
 from bronzerelay.bundle import check_record
 from bronzerelay.codes import Code
 from bronzerelay.outcomes import (
-    Current,
+    CurrentRecord,
     RolloutError,
     fail,
-    fail_before,
+    fail_not_run,
     refuse_command,
 )
 from bronzerelay.types import ConfigRecord
@@ -21,29 +21,29 @@
 
 
 class Records:
-    """Reads the records, and fills the gap that a command may have left."""
+    """Reads the records, and adds the version in force to the history if missing."""
 
     def __init__(self, key_value: Any):
         self._key_value = key_value
 
-    def read_current(self) -> Result[Current, RolloutError]:
-        """Return what is in force."""
-        found = self._key_value.get(CURRENT_KEY)
-        if found.is_error() and found.error.code is Code.NOT_FOUND:
-            return Ok(Current(None, 0))
-        if found.is_error():
-            return fail_before(found.error)
-        checked = check_record(found.ok.value)
+    def read_current(self) -> Result[CurrentRecord, RolloutError]:
+        """Return the record in force with its revision."""
+        stored = self._key_value.get(CURRENT_KEY)
+        if stored.is_error() and stored.error.code is Code.NOT_FOUND:
+            return Ok(CurrentRecord(None, 0))
+        if stored.is_error():
+            return fail_not_run(stored.error)
+        checked = check_record(stored.ok.value)
         if checked.is_error():
             return fail(checked.error)
-        return Ok(Current(checked.ok, found.ok.revision))
+        return Ok(CurrentRecord(checked.ok, stored.ok.revision))
 
     def read_in_force(self) -> Result[ConfigRecord, RolloutError]:
-        """Return the record in force, or NOT_FOUND before the first."""
+        """Return the record in force, or NOT_FOUND if there is none yet."""
         current = self.read_current()
         if current.is_ok() and current.ok.record is None:
             return refuse_command(Code.NOT_FOUND, "nothing is in force yet")
-        return current.map(lambda found: found.record)
+        return current.map(lambda current_record: current_record.record)
 
     def read_version(self, version: int) -> Result[ConfigRecord, RolloutError]:
         """Return the record of a version that is or was in force."""
@@ -59,55 +59,57 @@
         current = self.read_current()
         if current.is_error():
             return current
-        # When this fails, the version in force is listed all the same.
+        # A failure is ignored; the version in force is listed anyway.
         self.fill_history(current.ok)
         latest = current.ok.version
         records = [current.ok.record] if current.ok.record else []
         for version in range(latest - 1, max(0, latest - limit), -1):
-            found = self.read_record(f"{HISTORY_PREFIX}{version}")
-            if found.is_error():
-                return found
-            records.append(found.ok)
+            stored = self.read_record(f"{HISTORY_PREFIX}{version}")
+            if stored.is_error():
+                return stored
+            records.append(stored.ok)
         return Ok(records)
 
     def read_proposal(self, digest: str) -> Result[ConfigRecord, RolloutError]:
         """Return the proposal with this digest."""
-        return self.find_proposal(digest).map(lambda found: found[0])
+        return self.read_proposal_with_revision(digest).map(
+            lambda proposal: proposal[0]
+        )
 
-    def find_proposal(
+    def read_proposal_with_revision(
         self, digest: str
     ) -> Result[tuple[ConfigRecord, int], RolloutError]:
         """Return the proposal with its revision."""
-        found = self._key_value.get(PROPOSAL_PREFIX + digest)
-        if found.is_error():
-            return fail_before(found.error)
-        checked = check_record(found.ok.value)
+        stored = self._key_value.get(PROPOSAL_PREFIX + digest)
+        if stored.is_error():
+            return fail_not_run(stored.error)
+        checked = check_record(stored.ok.value)
         if checked.is_error():
             return fail(checked.error)
         if checked.ok["digest"] != digest:
             message = f"the proposal {digest} holds the bundle of another digest"
             return refuse_command(Code.BUNDLE_INVALID, message)
-        return Ok((checked.ok, found.ok.revision))
+        return Ok((checked.ok, stored.ok.revision))
 
     def read_record(self, key: str) -> Result[ConfigRecord, RolloutError]:
-        """Return the record that a key holds."""
-        found = self._key_value.get(key)
-        if found.is_error():
-            return fail_before(found.error)
-        return check_record(found.ok.value).map_error(RolloutError)
+        """Return the record stored under a key."""
+        stored = self._key_value.get(key)
+        if stored.is_error():
+            return fail_not_run(stored.error)
+        return check_record(stored.ok.value).map_error(RolloutError)
 
-    def fill_history(self, current: Current) -> Result[None, RolloutError]:
-        """Make sure that the history has the version in force."""
+    def fill_history(self, current: CurrentRecord) -> Result[None, RolloutError]:
+        """Add the version in force to the history unless it is there."""
         if current.record is None:
             return Ok(None)
         key = f"{HISTORY_PREFIX}{current.version}"
-        found = self._key_value.get(key)
-        if found.is_ok():
+        existing = self._key_value.get(key)
+        if existing.is_ok():
             return Ok(None)
-        if found.error.code is not Code.NOT_FOUND:
-            return fail_before(found.error)
+        if existing.error.code is not Code.NOT_FOUND:
+            return fail_not_run(existing.error)
         stored = self._key_value.put(key, current.record, expected_revision=0)
-        # Somebody who fills the same gap writes the same record.
+        # A concurrent command that adds this version writes the same record.
         if stored.is_ok() or stored.error.code is Code.COMPARE_FAILED:
             return Ok(None)
         return fail(stored.error)
--- a/bronzerelay/rollout.py
+++ b/bronzerelay/rollout.py
@@ -8,17 +8,17 @@
 from bronzerelay.bundle import check_bundle, digest_bundle
 from bronzerelay.codes import NOT_RUN, UNKNOWN, Code, Refusal
 from bronzerelay.outcomes import (
-    Current,
-    RolledBack,
+    CurrentRecord,
+    RollbackProposal,
     RolloutError,
     RolloutResult,
     check_version,
     fail,
-    fail_before,
+    fail_not_run,
     refuse_command,
     refuse_mistakes,
-    refuse_rival,
-    tell_replaced,
+    refuse_outdated,
+    report_replaced,
 )
 from bronzerelay.records import CURRENT_KEY, HISTORY_PREFIX, PROPOSAL_PREFIX, Records
 from bronzerelay.signing import (
@@ -37,24 +37,24 @@
     remove_key,
 )
 
-# Each lost race means that somebody else got through, so a few tries are plenty.
-TRIES = 8
-# How far back withdrawals are looked for.
-WITHDRAWAL_VERSIONS = 50
+# Each lost race means that another command succeeded, so a few attempts are enough.
+MAX_ATTEMPTS = 8
+# How many of the latest versions are searched for withdrawn keys.
+WITHDRAWAL_SEARCH_VERSIONS = 50
 
 
 class Operator(NamedTuple):
-    """Who gives the commands; without a private key nothing can be signed."""
+    """The operator who runs a command; without a private key it can't sign."""
 
     name: str
     private_key: str = ""
 
 
 class Rollout:
-    """The operators' changes to the configuration; any number may race each other.
+    """The operators' changes to the configuration; safe against concurrent commands.
 
-    The platform's `config/current` alone says what is in force, and it changes by
-    compare-and-swap only, so that nothing is ever half in force.
+    The platform's key `config/current` alone decides which version is in force. It is
+    changed by compare-and-swap only, so that no version is ever partly in force.
     """
 
     def __init__(self, key_value: Any, operator: Operator):
@@ -67,7 +67,7 @@
     def propose(self, bundle: Bundle) -> Result[ConfigRecord, RolloutError]:
         """Store the bundle for review, with the author's signature.
 
-        The same bundle proposed before, by whomever, gets the signature added.
+        If anybody has proposed the same bundle before, the signature is added to it.
         """
         mistakes = check_bundle(bundle)
         if mistakes:
@@ -79,17 +79,17 @@
             return Ok(current.ok.record)
         return (
             check_version(bundle, current.ok)
-            .bind(lambda _: self._check_withdrawn(bundle, current.ok))
+            .bind(lambda _: self._check_withdrawn_keys(bundle, current.ok))
             .bind(lambda _: self._store_proposal(bundle, current.ok))
         )
 
-    def _check_withdrawn(
-        self, bundle: Bundle, current: Current
+    def _check_withdrawn_keys(
+        self, bundle: Bundle, current: CurrentRecord
     ) -> Result[None, RolloutError]:
-        """Return Ok unless the bundle brings back a key withdrawn of late.
+        """Return Ok unless the bundle brings back a recently withdrawn key.
 
-        A withdrawal makes a version that no file knows of. Whoever then only raises
-        the version in his file would let a leaked key in again.
+        A withdrawal makes a new version without changing any bundle file. An operator
+        who then only raises the version in a file would bring a leaked key back.
         """
         if current.record is None:
             return Ok(None)
@@ -97,8 +97,8 @@
         hashes = set().union(*list_hashes(bundle).values())
         if hashes <= known:
             return Ok(None)
-        oldest = max(1, current.version - WITHDRAWAL_VERSIONS)
-        withdrawn = self._list_withdrawn(oldest, current)
+        oldest = max(1, current.version - WITHDRAWAL_SEARCH_VERSIONS)
+        withdrawn = self._list_withdrawn_hashes(oldest, current)
         if withdrawn.is_error():
             return withdrawn
         names = list_key_names(bundle, withdrawn.ok)
@@ -111,7 +111,7 @@
         return refuse_command(Code.BUNDLE_INVALID, message)
 
     def _store_proposal(
-        self, bundle: Bundle, current: Current
+        self, bundle: Bundle, current: CurrentRecord
     ) -> Result[ConfigRecord, RolloutError]:
         record = self._make_record(bundle)
         signed = self._add_signature(record, current.bundle)
@@ -127,19 +127,19 @@
         return fail(stored.error)
 
     def sign(self, digest: str) -> Result[ConfigRecord, RolloutError]:
-        """Add the operator's signature to a proposal; doing it twice does no harm."""
+        """Add the operator's signature to a proposal; idempotent."""
         current = self.records.read_current()
         if current.is_error():
             return current
-        for _ in range(TRIES):
-            found = self.records.find_proposal(digest)
-            if found.is_error():
-                return found
-            record, revision = found.ok
-            # A signature under what can't come into force any more is a wasted review.
-            fits = check_version(record["bundle"], current.ok)
-            if fits.is_error() and record["digest"] != current.ok.digest:
-                return fits
+        for _ in range(MAX_ATTEMPTS):
+            proposal = self.records.read_proposal_with_revision(digest)
+            if proposal.is_error():
+                return proposal
+            record, revision = proposal.ok
+            # A signature on a proposal that can't come into force any more is useless.
+            allowed = check_version(record["bundle"], current.ok)
+            if allowed.is_error() and record["digest"] != current.ok.digest:
+                return allowed
             signed = self._add_signature(record, current.ok.bundle)
             if signed.is_error() or signed.ok == record:
                 return signed
@@ -163,10 +163,10 @@
     def _add_signature(
         self, record: ConfigRecord, in_force: Bundle | None
     ) -> Result[ConfigRecord, RolloutError]:
-        """Return the record with the operator's signature, if one is needed.
+        """Return the record with the operator's signature, if signatures are needed.
 
-        A signature that won't count is refused here: its operator would otherwise
-        learn of it only when the bundle is rolled out, maybe in a hurry.
+        A signature that wouldn't count is refused here. Otherwise the error would come
+        only at the rollout, which may be urgent.
         """
         needed = list_operators(record, in_force)
         if not self._operator.private_key and not needed:
@@ -183,11 +183,11 @@
                 Code.SIGNATURE_MISSING, f"the operator's key: {error}"
             )
         name = self._operator.name
-        own: SignatureEntry = {"operator": name, "signature": signature}
+        own_entry: SignatureEntry = {"operator": name, "signature": signature}
         others = [entry for entry in record["signatures"] if entry["operator"] != name]
         signed = record
-        if own not in record["signatures"]:
-            signed = {**record, "signatures": [*others, own]}
+        if own_entry not in record["signatures"]:
+            signed = {**record, "signatures": [*others, own_entry]}
         if needed and name not in find_signers(signed, in_force):
             message = (
                 f"{name!r} is no operator of the bundle in force, "
@@ -199,7 +199,7 @@
     # Putting in force
 
     def put_in_force(self, digest: str) -> Result[RolloutResult, RolloutError]:
-        """Put a proposal in force when it is signed and next in version."""
+        """Put a proposal in force if it is signed and has the next version."""
         current = self.records.read_current()
         if current.is_error():
             return current
@@ -210,50 +210,52 @@
                 RolloutResult(current.ok.record, (f"in force already, by {author}",))
             )
         return self.records.read_proposal(digest).bind(
-            lambda record: self._replace(record, current.ok, check_signatures)
+            lambda record: self._swap(record, current.ok, check_signatures)
         )
 
-    def _replace(
+    def _swap(
         self,
         record: ConfigRecord,
-        current: Current,
+        current: CurrentRecord,
         check: Callable[[ConfigRecord, Bundle | None], Result[None, Refusal]],
     ) -> Result[RolloutResult, RolloutError]:
-        """Swap the record for what is in force, then write it into the history."""
-        fits = check_version(record["bundle"], current)
-        if fits.is_error():
-            return fits
+        """Put the record in force by compare-and-swap, then add it to the history."""
+        allowed = check_version(record["bundle"], current)
+        if allowed.is_error():
+            return allowed
         signed = check(record, current.bundle)
         if signed.is_error():
             return fail(signed.error)
-        # An operator's command may have ended between its two writes. Its version is
-        # in force and the history lacks it; once replaced it would be lost for good.
-        # As every command fills this gap before the swap, there is never a second.
-        filled = self.records.fill_history(current)
-        if filled.is_error():
-            return fail_before(filled.error.refusal)
+        # An earlier command may have ended between its two writes, so that its version
+        # is in force but missing from the history; once replaced, it would be lost for
+        # good. Every command adds the missing version before its swap, so at most one
+        # version is missing at any time.
+        recorded = self.records.fill_history(current)
+        if recorded.is_error():
+            return fail_not_run(recorded.error.refusal)
         swapped = self._key_value.put(CURRENT_KEY, record, current.revision)
         if swapped.is_error():
-            return self._resolve(record, swapped.error)
+            return self._resolve_failed_swap(record, swapped.error)
         return self._record_history(record)
 
     def _record_history(
         self, record: ConfigRecord, *notes: str
     ) -> Result[RolloutResult, RolloutError]:
-        filled = self.records.fill_history(Current(record, 0))
-        if filled.is_error():
-            late = "the history lacks this version; the next command adds it"
-            return Ok(RolloutResult(record, (*notes, late)))
+        recorded = self.records.fill_history(CurrentRecord(record, 0))
+        if recorded.is_error():
+            warning = "the history lacks this version; the next command adds it"
+            return Ok(RolloutResult(record, (*notes, warning)))
         return Ok(RolloutResult(record, notes))
 
-    def _resolve(
+    def _resolve_failed_swap(
         self, record: ConfigRecord, refusal: Refusal
     ) -> Result[RolloutResult, RolloutError]:
-        """Find out what became of a swap that was refused or got no answer.
+        """Find out whether a swap that was refused or got no answer has taken effect.
 
-        Told "failed" while the bundle is in force, an operator would write the next
-        one against an older version; told "in force" when a rival's is, he would go
-        home. Digest and author tell the two apart.
+        If the command reported a failure while the bundle is in force, the operator
+        would write the next bundle against an older version; if it reported success
+        while a rival's bundle is in force, the operator would stop too early. Digest
+        and author distinguish the two cases.
         """
         if refusal.code is Code.PLATFORM_UNAVAILABLE and refusal.ran == NOT_RUN:
             return fail(refusal)
@@ -261,32 +263,32 @@
         if current.is_error():
             return fail(refusal)
         if current.ok.record and current.ok.digest == record["digest"]:
-            return self._tell_equal(record, current.ok.record)
+            return self._report_same_bundle(record, current.ok.record)
         if current.ok.version < record["version"]:
             return fail(refusal)
         if current.ok.version > record["version"]:
-            was = self.records.read_record(f"{HISTORY_PREFIX}{record['version']}")
-            if was.is_error():
+            stored = self.records.read_record(f"{HISTORY_PREFIX}{record['version']}")
+            if stored.is_error():
                 return fail(refusal._replace(ran=UNKNOWN))
-            if was.ok["digest"] == record["digest"]:
-                return Ok(tell_replaced(was.ok, current.ok.record))
-        return refuse_rival(record["bundle"], current.ok)
+            if stored.ok["digest"] == record["digest"]:
+                return Ok(report_replaced(stored.ok, current.ok.record))
+        return refuse_outdated(record["bundle"], current.ok)
 
-    def _tell_equal(
-        self, record: ConfigRecord, found: ConfigRecord
+    def _report_same_bundle(
+        self, record: ConfigRecord, in_force: ConfigRecord
     ) -> Result[RolloutResult, RolloutError]:
-        if found["author"] == record["author"]:
-            return self._record_history(found)
-        note = f"{found['author']} has put the same bundle in force"
-        return self._record_history(found, note)
+        if in_force["author"] == record["author"]:
+            return self._record_history(in_force)
+        note = f"{in_force['author']} has put the same bundle in force"
+        return self._record_history(in_force, note)
 
     # Rolling back
 
-    def rollback(self, version: int) -> Result[RolledBack, RolloutError]:
+    def rollback(self, version: int) -> Result[RollbackProposal, RolloutError]:
         """Propose a new version with the groups and workspaces of an older one.
 
-        Keys withdrawn since then stay withdrawn, and the operators stay those in
-        force: going back must bring back no right that was taken away.
+        Keys withdrawn since then stay withdrawn, and the operators are those of the
+        version in force: a rollback must not restore a right that was revoked.
         """
         current = self.records.read_current()
         if current.is_error():
@@ -297,31 +299,33 @@
         old = self.records.read_version(version)
         if old.is_error():
             return old
-        withdrawn = self._list_withdrawn(version, current.ok)
+        withdrawn = self._list_withdrawn_hashes(version, current.ok)
         if withdrawn.is_error():
             return withdrawn
-        bundle, left_out = rebuild_bundle(
+        bundle, omitted_keys = rebuild_bundle(
             old.ok["bundle"], current.ok.bundle, withdrawn.ok
         )
-        return self.propose(bundle).map(lambda record: RolledBack(record, left_out))
+        return self.propose(bundle).map(
+            lambda record: RollbackProposal(record, omitted_keys)
+        )
 
-    def _list_withdrawn(
-        self, version: int, current: Current
+    def _list_withdrawn_hashes(
+        self, version: int, current: CurrentRecord
     ) -> Result[set[str], RolloutError]:
-        """Return the hashes that a workspace of `version` or later has lost.
+        """Return the hashes of keys removed from a workspace since `version`.
 
-        Keys that went away together with their workspace don't count: a rollback is
-        the way to get a workspace back that was removed by mistake.
+        Keys removed together with their workspace don't count: a rollback is how a
+        workspace that was removed by mistake is restored.
         """
         withdrawn: set[str] = set()
         before: dict[str, set[str]] = {}
         for number in range(version, current.version + 1):
             key = f"{HISTORY_PREFIX}{number}"
             latest = number == current.version
-            found = Ok(current.record) if latest else self.records.read_record(key)
-            if found.is_error():
-                return found
-            after = list_hashes(found.ok["bundle"])
+            stored = Ok(current.record) if latest else self.records.read_record(key)
+            if stored.is_error():
+                return stored
+            after = list_hashes(stored.ok["bundle"])
             for name in before.keys() & after.keys():
                 withdrawn |= before[name] - after[name]
             before = after
@@ -334,10 +338,11 @@
     ) -> Result[RolloutResult, RolloutError]:
         """Put a version in force that lacks the key and is otherwise the same.
 
-        It only takes a right away, so one operator's signature is enough, and a lost
-        race is run again: what the rival changed stays.
+        A withdrawal only revokes a right, so one operator's signature is enough. After
+        a lost race it is repeated on top of the rival's version, which keeps the
+        rival's changes.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             current = self.records.read_current()
             if current.is_error():
                 return current
@@ -351,34 +356,32 @@
         return result
 
     def _swap_without(
-        self, workspace: str, key_id: str, current: Current
+        self, workspace: str, key_id: str, current: CurrentRecord
     ) -> Result[RolloutResult, RolloutError]:
         bundle = remove_key(current.bundle, workspace, key_id)
         signed = self._add_signature(self._make_record(bundle), current.bundle)
-        return signed.bind(
-            lambda record: self._replace(record, current, check_withdrawal)
-        )
+        return signed.bind(lambda record: self._swap(record, current, check_withdrawal))
 
     def _find_withdrawal(
-        self, workspace: str, key_id: str, current: Current
+        self, workspace: str, key_id: str, current: CurrentRecord
     ) -> Result[RolloutResult, RolloutError]:
-        """Return the version that withdrew the key, by whomever it was.
+        """Return the version that withdrew the key, whoever its author is.
 
-        A command whose answer was lost, or that has waited in vain for a daemon, is
-        run again; it must find its own work done, and yet not take a mistyped name
-        for a withdrawn key.
+        A command is run again when its answer was lost or when it timed out waiting for
+        a daemon. The second run must recognize that the key is already withdrawn, but
+        must not take a mistyped id for a withdrawn key.
         """
         after = current.record
-        oldest = max(0, current.version - WITHDRAWAL_VERSIONS)
+        oldest = max(0, current.version - WITHDRAWAL_SEARCH_VERSIONS)
         for version in range(current.version - 1, oldest, -1):
-            found = self.records.read_record(f"{HISTORY_PREFIX}{version}")
-            if found.is_error():
-                return found
-            entry = find_workspace(found.ok["bundle"], workspace)
+            stored = self.records.read_record(f"{HISTORY_PREFIX}{version}")
+            if stored.is_error():
+                return stored
+            entry = find_workspace(stored.ok["bundle"], workspace)
             if entry and key_id in [key["id"] for key in entry["keys"]]:
                 note = f"version {after['version']} of {after['author']} withdrew it"
                 return Ok(RolloutResult(after, (note,)))
-            after = found.ok
+            after = stored.ok
         entry = find_workspace(current.bundle, workspace)
         if entry is None:
             return refuse_command(
--- a/bronzerelay/withdrawal.py
+++ b/bronzerelay/withdrawal.py
@@ -1,4 +1,4 @@
-"""Withdrawn keys: bundles that only take keys away, and that keep them away."""
+"""Withdrawal of keys: bundles that only remove keys, and rollbacks that omit them."""
 
 from expression import Ok, Result
 
@@ -21,9 +21,9 @@
 def rebuild_bundle(
     old: Bundle, in_force: Bundle, withdrawn: set[str]
 ) -> tuple[Bundle, tuple[str, ...]]:
-    """Return the next version with the content of `old`, and the keys left out.
+    """Return the next version with the content of `old`, and the names of omitted keys.
 
-    The operators stay those in force, and the hashes in `withdrawn` stay away.
+    The operators are those in force. Keys whose hash is in `withdrawn` are omitted.
     """
     bundle: Bundle = {**old, "version": in_force["version"] + 1}
     bundle.pop("operators", None)
@@ -42,8 +42,8 @@
 def check_withdrawal(
     record: ConfigRecord, in_force: Bundle | None
 ) -> Result[None, Refusal]:
-    """Return Ok when the record only lacks keys and its author has signed it."""
-    if not _only_lacks_keys(record["bundle"], in_force):
+    """Return Ok if the record only removes keys and its author has signed it."""
+    if not _only_removes_keys(record["bundle"], in_force):
         return refuse(Code.SIGNATURE_MISSING, "this changes more than keys withdrawn")
     if not list_operators(record, in_force):
         return Ok(None)
@@ -53,23 +53,27 @@
     return Ok(None)
 
 
-def _only_lacks_keys(bundle: Bundle, in_force: Bundle | None) -> bool:
+def _only_removes_keys(bundle: Bundle, in_force: Bundle | None) -> bool:
     if in_force is None:
         return False
-    expected = in_force["version"] + 1
-    kept = list_hashes(bundle)
-    allowed = [
+    next_version = in_force["version"] + 1
+    remaining_hashes = list_hashes(bundle)
+    expected_workspaces = [
         {
             **entry,
             "keys": [
                 key
                 for key in entry["keys"]
-                if key["hash"] in kept.get(entry["name"], set())
+                if key["hash"] in remaining_hashes.get(entry["name"], set())
             ],
         }
         for entry in in_force["workspaces"]
     ]
-    return bundle == {**in_force, "version": expected, "workspaces": allowed}
+    return bundle == {
+        **in_force,
+        "version": next_version,
+        "workspaces": expected_workspaces,
+    }
 
 
 def list_key_names(bundle: Bundle, hashes: set[str]) -> tuple[str, ...]:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -298,7 +298,7 @@
         team.make_bundle(3, workspaces=[without, make_workspace("south")])
     )
     back = ana.rollback(1).ok
-    assert back.left_out == (f"north/{NORTH_KEY}",)
+    assert back.omitted_keys == (f"north/{NORTH_KEY}",)
     assert team.make_rollout("beto").sign(back.record["digest"]).is_ok()
     bundle = ana.put_in_force(back.record["digest"]).ok.record["bundle"]
     north = bundle["workspaces"][0]
@@ -318,5 +318,5 @@
 def test_a_rollback_brings_back_a_workspace_with_its_keys(team):
     team.put_in_force(team.make_bundle(2, workspaces=[make_workspace("north")]))
     back = team.make_rollout("ana").rollback(1).ok
-    assert back.left_out == ()
+    assert back.omitted_keys == ()
     assert back.record["bundle"]["workspaces"] == team.make_bundle()["workspaces"]
