--- a/bronzerelay/bundlefile.py
+++ b/bronzerelay/bundlefile.py
@@ -1,4 +1,4 @@
-"""The bundle as a TOML file: writing one, and editing one with its comments kept."""
+"""The bundle as a TOML file: writing one, and editing one without losing comments."""
 
 import json
 import os
@@ -22,26 +22,29 @@
 )
 
 HEADER_LINE = re.compile(r"\s*\[\[\s*([A-Za-z0-9_.-]+)\s*\]\]\s*(?:#.*)?")
-NOTE = "# Written by bronzerelay; docs/CONFIGURATION.md explains the fields."
+TOP_COMMENT = "# Written by bronzerelay; docs/CONFIGURATION.md explains the fields."
 ENCODING = "utf-8"
 
 
 class Block(NamedTuple):
-    """The lines of one `[[header]]` with the comment above it; "" is the top."""
+    """The lines from one `[[header]]` to the next, with the comment above it.
+
+    The lines before the first header have the header "".
+    """
 
     header: str
     lines: tuple[str, ...]
 
 
 class Edit(NamedTuple):
-    """One change, both of the bundle and of the lines that it is written in."""
+    """One change as two functions: of the decoded bundle and of the file's blocks."""
 
     change_bundle: Callable[[Bundle], Bundle]
     change_blocks: Callable[[list[Block]], list[Block]]
 
 
-class Edited(NamedTuple):
-    """The new text; `rewritten` says that it couldn't keep the comments."""
+class EditResult(NamedTuple):
+    """The new text; `rewritten` if it was generated anew, which loses the comments."""
 
     text: str
     rewritten: bool
@@ -51,15 +54,15 @@
 
 
 def read_text(path: str) -> str:
-    """Return the text of a file, or raise OSError or ValueError."""
+    """Return the text of a file; raise OSError, or ValueError if it isn't UTF-8."""
     with open(path, encoding=ENCODING) as file:
         return file.read()
 
 
 def write_text(path: str, text: str) -> None:
-    """Replace the file as a whole, or raise OSError and leave it as it was.
+    """Replace the file atomically, or raise OSError and leave it unchanged.
 
-    Half a bundle could still be well-formed TOML, with some workspaces missing.
+    A partly written bundle could still be valid TOML, with some workspaces missing.
     """
     folder = os.path.dirname(os.path.abspath(path))
     mode = os.stat(path).st_mode & 0o777 if os.path.exists(path) else 0o644
@@ -76,94 +79,98 @@
         raise
 
 
-# Writing afresh
+# Writing a whole file
 
 
 def write_bundle(bundle: Bundle) -> str:
     """Return the bundle as TOML, a table for each entry."""
     bundle = normalize_bundle(bundle)
-    top = [NOTE, f"format = {bundle['format']}", f"version = {bundle['version']}"]
-    parts = ["\n".join(top)]
-    parts += [
+    top = [
+        TOP_COMMENT,
+        f"format = {bundle['format']}",
+        f"version = {bundle['version']}",
+    ]
+    tables = ["\n".join(top)]
+    tables += [
         write_table("operators", entry, OperatorEntry)
         for entry in bundle.get("operators", [])
     ]
     for group in bundle["groups"]:
-        parts.append(write_table("groups", group, GroupEntry, "endpoints"))
-        parts += [
+        tables.append(write_table("groups", group, GroupEntry, "endpoints"))
+        tables += [
             write_table("groups.endpoints", entry, EndpointEntry)
             for entry in group["endpoints"]
         ]
     for workspace in bundle["workspaces"]:
-        parts.append(write_workspace(workspace))
+        tables.append(write_workspace(workspace))
     for name in ("groups", "workspaces"):
         if not bundle[name]:
-            parts[0] += f"\n{name} = []"
-    return "\n\n".join(parts) + "\n"
+            tables[0] += f"\n{name} = []"
+    return "\n\n".join(tables) + "\n"
 
 
 def write_workspace(entry: WorkspaceEntry) -> str:
     """Return a workspace with its keys as TOML."""
     if not entry["keys"]:
         return write_table("workspaces", entry, WorkspaceEntry)
-    parts = [write_table("workspaces", entry, WorkspaceEntry, "keys")]
-    parts += [write_table("workspaces.keys", key, KeyEntry) for key in entry["keys"]]
-    return "\n\n".join(parts)
+    tables = [write_table("workspaces", entry, WorkspaceEntry, "keys")]
+    tables += [write_table("workspaces.keys", key, KeyEntry) for key in entry["keys"]]
+    return "\n\n".join(tables)
 
 
-def write_table(header: str, entry: Any, shape: type, left_out: str = "") -> str:
-    """Return one entry as TOML, its fields in the order of `shape`."""
+def write_table(header: str, entry: Any, shape: type, omitted_field: str = "") -> str:
+    """Return one entry as TOML, its fields in the order of the class `shape`."""
     lines = [f"[[{header}]]"]
     for field in shape.__annotations__:
-        if field in entry and field != left_out:
+        if field in entry and field != omitted_field:
             lines.append(f"{field} = {_write_value(entry[field])}")
     return "\n".join(lines)
 
 
 def _write_value(value: Any) -> str:
-    # JSON writes text, whole numbers, flags and lists of them as TOML does.
+    # JSON's notation for strings, integers, booleans and lists of them is valid TOML.
     return repr(value) if isinstance(value, float) else json.dumps(value)
 
 
 # Editing
 
 
-def edit_text(text: str, edit: Edit) -> Result[Edited, list[Mistake]]:
+def edit_text(text: str, edit: Edit) -> Result[EditResult, list[Mistake]]:
     """Return the text after the edit, or every mistake that it would have.
 
-    The lines are changed as text, so that comments stay; what comes out is read
-    again. When it isn't the wanted bundle, since the file is laid out in a way not
-    foreseen here, the whole file is written afresh.
+    The lines are edited as text, so that comments are preserved, and the result is
+    parsed again. If it isn't the expected bundle, because the file has a layout that
+    the text edit doesn't handle, the whole file is written anew.
     """
     parsed = parse_bundle(text)
     if parsed.is_error():
         return parsed
-    wanted = edit.change_bundle(parsed.ok)
-    mistakes = check_bundle(wanted)
+    expected = edit.change_bundle(parsed.ok)
+    mistakes = check_bundle(expected)
     if mistakes:
         return Error(mistakes)
     edited = join_blocks(edit.change_blocks(split_blocks(text)))
-    if parse_bundle(edited) == Ok(normalize_bundle(wanted)):
-        return Ok(Edited(edited, rewritten=False))
-    return Ok(Edited(write_bundle(wanted), rewritten=True))
+    if parse_bundle(edited) == Ok(normalize_bundle(expected)):
+        return Ok(EditResult(edited, rewritten=False))
+    return Ok(EditResult(write_bundle(expected), rewritten=True))
 
 
 def split_blocks(text: str) -> list[Block]:
     """Return the blocks of a file, in order."""
     blocks = [Block("", ())]
-    waiting: list[str] = []
+    pending_comments: list[str] = []
     for line in text.splitlines():
-        found = HEADER_LINE.fullmatch(line)
-        if found:
-            blocks.append(Block(found[1], (*waiting, line)))
-            waiting = []
+        match = HEADER_LINE.fullmatch(line)
+        if match:
+            blocks.append(Block(match[1], (*pending_comments, line)))
+            pending_comments = []
         elif line.lstrip().startswith("#"):
-            # A comment belongs to what comes below it.
-            waiting.append(line)
+            # A comment belongs to the block or line below it.
+            pending_comments.append(line)
         else:
-            blocks[-1] = _append(blocks[-1], *waiting, line)
-            waiting = []
-    blocks[-1] = _append(blocks[-1], *waiting)
+            blocks[-1] = _append(blocks[-1], *pending_comments, line)
+            pending_comments = []
+    blocks[-1] = _append(blocks[-1], *pending_comments)
     return blocks
 
 
@@ -185,7 +192,10 @@
 
 
 def find_span(blocks: list[Block], header: str, name: str) -> tuple[int, int]:
-    """Return the first block of an entry and the one after its last; equal if none."""
+    """Return the indices of an entry's first block and of the block after its last.
+
+    They are equal if there is no such entry.
+    """
     for first, block in enumerate(blocks):
         if block.header == header and read_name(block) == name:
             end = first + 1
@@ -196,7 +206,7 @@
 
 
 def insert_block(blocks: list[Block], index: int, text: str) -> list[Block]:
-    """Return the blocks with a new one, blank lines around it."""
+    """Return the blocks with those of `text` inserted, set off by blank lines."""
     before, after = blocks[:index], blocks[index:]
     if before and before[-1].lines and before[-1].lines[-1].strip():
         before[-1] = _append(before[-1], "")
@@ -207,21 +217,21 @@
 
 
 def set_line(block: Block, field: str, value: Any) -> Block:
-    """Return the block with the line `field = value`, its comment kept."""
+    """Return the block with the line `field = value`, preserving the line's comment."""
     pattern = re.compile(rf"(\s*{field}\s*=\s*)[^#]*?(\s*#.*)?")
-    written = _write_value(value)
+    formatted = _write_value(value)
     lines = list(block.lines)
     for index, line in enumerate(lines):
-        found = pattern.fullmatch(line)
-        if found:
-            lines[index] = f"{found[1]}{written}{found[2] or ''}"
+        match = pattern.fullmatch(line)
+        if match:
+            lines[index] = f"{match[1]}{formatted}{match[2] or ''}"
             return Block(block.header, tuple(lines))
     last = max(i for i, line in enumerate(lines) if line.strip())
-    lines.insert(last + 1, f"{field} = {written}")
+    lines.insert(last + 1, f"{field} = {formatted}")
     return Block(block.header, tuple(lines))
 
 
-def drop_line(block: Block, field: str) -> Block:
+def remove_line(block: Block, field: str) -> Block:
     """Return the block without the line of a field."""
     pattern = re.compile(rf"\s*{field}\s*=.*")
     kept = tuple(line for line in block.lines if not pattern.fullmatch(line))
--- a/bronzerelay/edits.py
+++ b/bronzerelay/edits.py
@@ -1,4 +1,4 @@
-"""The edits of a bundle file: workspaces, endpoints and callers' keys."""
+"""Edits of a bundle file: workspaces, endpoints and callers' keys."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,9 +6,9 @@
 from bronzerelay.bundlefile import (
     Block,
     Edit,
-    drop_line,
     find_span,
     insert_block,
+    remove_line,
     set_line,
     write_table,
     write_workspace,
@@ -38,8 +38,8 @@
     """Return the edit that removes a workspace with its keys."""
 
     def change_bundle(bundle: Bundle) -> Bundle:
-        kept = [one for one in bundle["workspaces"] if one["name"] != name]
-        return {**bundle, "workspaces": kept}
+        remaining = [entry for entry in bundle["workspaces"] if entry["name"] != name]
+        return {**bundle, "workspaces": remaining}
 
     return Edit(change_bundle, _remove_span("workspaces", name))
 
@@ -49,7 +49,12 @@
 
     def change_bundle(bundle: Bundle) -> Bundle:
         return _map_workspace(
-            bundle, workspace, lambda one: {**one, "keys": [*one["keys"], entry]}
+            bundle,
+            workspace,
+            lambda workspace_entry: {
+                **workspace_entry,
+                "keys": [*workspace_entry["keys"], entry],
+            },
         )
 
     def change_blocks(blocks: list[Block]) -> list[Block]:
@@ -58,8 +63,8 @@
             return blocks
         blocks = list(blocks)
         if end == first + 1:
-            # The line `keys = []` and a table of keys can't stand side by side.
-            blocks[first] = drop_line(blocks[first], "keys")
+            # TOML doesn't allow both a line `keys = []` and tables of keys.
+            blocks[first] = remove_line(blocks[first], "keys")
         text = write_table("workspaces.keys", entry, KeyEntry)
         return insert_block(blocks, end, text)
 
@@ -71,10 +76,10 @@
 
     def change_bundle(bundle: Bundle) -> Bundle:
         groups = [
-            {**one, "endpoints": [*one["endpoints"], entry]}
-            if one["name"] == group
-            else one
-            for one in bundle["groups"]
+            {**group_entry, "endpoints": [*group_entry["endpoints"], entry]}
+            if group_entry["name"] == group
+            else group_entry
+            for group_entry in bundle["groups"]
         ]
         return {**bundle, "groups": groups}
 
@@ -96,8 +101,13 @@
 
     def change_bundle(bundle: Bundle) -> Bundle:
         groups = [
-            {**one, "endpoints": [e for e in one["endpoints"] if e["name"] != name]}
-            for one in bundle["groups"]
+            {
+                **group,
+                "endpoints": [
+                    entry for entry in group["endpoints"] if entry["name"] != name
+                ],
+            }
+            for group in bundle["groups"]
         ]
         return {**bundle, "groups": groups}
 
@@ -117,13 +127,13 @@
 
     def change_bundle(bundle: Bundle) -> Bundle:
         if header == "workspaces":
-            return _map_workspace(bundle, name, lambda one: {**one, **changes})
+            return _map_workspace(bundle, name, lambda entry: {**entry, **changes})
         groups = [
             {
                 **group,
                 "endpoints": [
-                    {**one, **changes} if one["name"] == name else one
-                    for one in group["endpoints"]
+                    {**entry, **changes} if entry["name"] == name else entry
+                    for entry in group["endpoints"]
                 ],
             }
             for group in bundle["groups"]
@@ -146,6 +156,7 @@
     bundle: Bundle, name: str, change: Callable[[WorkspaceEntry], WorkspaceEntry]
 ) -> Bundle:
     workspaces = [
-        change(one) if one["name"] == name else one for one in bundle["workspaces"]
+        change(entry) if entry["name"] == name else entry
+        for entry in bundle["workspaces"]
     ]
     return {**bundle, "workspaces": workspaces}
--- a/bronzerelay/keys.py
+++ b/bronzerelay/keys.py
@@ -1,9 +1,9 @@
-"""The keys that callers present."""
+"""The API keys that callers present."""
 
 import hashlib
 
-# A key must not be guessed from other keys, so it comes from the system's
-# cryptographic source and not from the runtime's random source, which tests seed.
+# Keys must be unpredictable, so they come from the system's cryptographic random
+# source and not from the runtime's, which tests seed.
 import secrets
 
 # Lets scanners for leaked secrets tell a key from other text.
@@ -13,15 +13,15 @@
 
 
 def make_key() -> str:
-    """Return a new key of 256 random bits; it is shown once and never stored."""
+    """Return a new key of 256 random bits; only its hash is ever stored."""
     return KEY_PREFIX + secrets.token_urlsafe(KEY_BYTES)
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which a key is kept, as `sha256:HEX`.
+    """Return the hash of a key as `sha256:HEX`, the form in which keys are stored.
 
-    One fast hash is enough: nobody can try out 256 random bits. Any text has a hash,
-    also one that isn't valid Unicode, since callers send what they like.
+    One fast hash is enough, since 256 random bits can't be found by brute force. Text
+    that isn't valid Unicode has a hash too, since callers may send anything.
     """
     data = key.encode("utf-8", "surrogatepass")
     return HASH_PREFIX + hashlib.sha256(data).hexdigest()
--- a/bronzerelay/rollout.py
+++ b/bronzerelay/rollout.py
@@ -23,7 +23,7 @@
 from bronzerelay.records import CURRENT_KEY, HISTORY_PREFIX, PROPOSAL_PREFIX, Records
 from bronzerelay.signing import (
     check_signatures,
-    find_signers,
+    find_valid_signers,
     list_operators,
     sign_digest,
 )
@@ -188,7 +188,7 @@
         signed = record
         if own_entry not in record["signatures"]:
             signed = {**record, "signatures": [*others, own_entry]}
-        if needed and name not in find_signers(signed, in_force):
+        if needed and name not in find_valid_signers(signed, in_force):
             message = (
                 f"{name!r} is no operator of the bundle in force, "
                 "or the private key isn't that of the public key there"
--- a/bronzerelay/signing.py
+++ b/bronzerelay/signing.py
@@ -15,64 +15,66 @@
 
 PUBLIC_PREFIX = "ed25519:"
 PRIVATE_PREFIX = "ed25519-private:"
-# Put before the digest, so that a signature given elsewhere for the same text, by a
-# program with another purpose, is none for a bundle.
-PURPOSE = b"bronzerelay bundle\n"
+# Signed together with the digest (domain separation), so that a signature made by
+# another program over the same text isn't valid for a bundle.
+CONTEXT = b"bronzerelay bundle\n"
 
 
 class OperatorKey(NamedTuple):
-    """A pair of keys as text; only `public` goes into a bundle."""
+    """An Ed25519 key pair as text; only `public` goes into a bundle."""
 
     private: str
     public: str
 
 
 def make_operator_key() -> OperatorKey:
-    """Return a new pair of keys."""
-    private = Ed25519PrivateKey.generate()
-    public = private.public_key().public_bytes_raw()
+    """Return a new key pair."""
+    private_key = Ed25519PrivateKey.generate()
+    public = private_key.public_key().public_bytes_raw()
     return OperatorKey(
-        PRIVATE_PREFIX + private.private_bytes_raw().hex(),
+        PRIVATE_PREFIX + private_key.private_bytes_raw().hex(),
         PUBLIC_PREFIX + public.hex(),
     )
 
 
-def sign_digest(private: str, digest: str) -> str:
+def sign_digest(private_key: str, digest: str) -> str:
     """Return the signature in hexadecimal digits.
 
-    Raise ValueError when `private` isn't a private key; the error doesn't show it.
+    Raise ValueError if `private_key` isn't a private key; the error doesn't contain it.
     """
-    data = _read_hex(private, PRIVATE_PREFIX)
+    data = _decode_hex(private_key, PRIVATE_PREFIX)
     try:
         key = Ed25519PrivateKey.from_private_bytes(data)
     except ValueError:
         raise ValueError(f"a private key is {PRIVATE_PREFIX} and 64 digits") from None
-    return key.sign(_message(digest)).hex()
+    return key.sign(_encode_message(digest)).hex()
 
 
 def check_signatures(
     record: ConfigRecord, in_force: Bundle | None
 ) -> Result[None, Refusal]:
-    """Return Ok when the author and a second operator have signed the bundle.
+    """Return Ok if the author and a second operator have signed the bundle.
 
-    The operators are those of the bundle in force. When there is none, or it names
-    none, they are those of the record's own bundle; when that names none either, no
-    signatures are needed. The operators of a new bundle don't count beside those in
-    force: anybody could name himself twice and sign.
+    The operators are those of the bundle in force. If there is none, or it names no
+    operators, they are those of the record's own bundle; if that names none either, no
+    signatures are needed. Operators that only the new bundle names don't count:
+    anybody could add two names with keys of their own and sign.
     """
     operators = list_operators(record, in_force)
     if not operators:
         return Ok(None)
-    signers = find_signers(record, in_force)
+    signers = find_valid_signers(record, in_force)
     author = record["author"]
     if author not in operators:
-        return _refuse_missing(f"the author {author!r} is no operator", operators)
+        return _refuse_missing_signature(
+            f"the author {author!r} is no operator", operators
+        )
     if author not in signers:
         message = f"there is no valid signature of the author {author!r}"
-        return _refuse_missing(message, operators)
+        return _refuse_missing_signature(message, operators)
     if len(signers) < 2:
         message = f"nobody but the author {author!r} has signed"
-        return _refuse_missing(message, operators)
+        return _refuse_missing_signature(message, operators)
     return Ok(None)
 
 
@@ -81,10 +83,10 @@
     return _read_operators(in_force) or _read_operators(record["bundle"])
 
 
-def find_signers(record: ConfigRecord, in_force: Bundle | None) -> set[str]:
+def find_valid_signers(record: ConfigRecord, in_force: Bundle | None) -> set[str]:
     """Return the operators whose valid signatures the record holds."""
     operators = list_operators(record, in_force)
-    # The record's own digest may be that of another bundle, one that was signed.
+    # The record's digest field isn't trusted: it may be that of another, signed bundle.
     digest = digest_bundle(record["bundle"])
     return {
         entry["operator"]
@@ -103,15 +105,15 @@
 
 def _verify(public: str, digest: str, signature: str) -> bool:
     try:
-        key = Ed25519PublicKey.from_public_bytes(_read_hex(public, PUBLIC_PREFIX))
-        key.verify(bytes.fromhex(signature), _message(digest))
+        key = Ed25519PublicKey.from_public_bytes(_decode_hex(public, PUBLIC_PREFIX))
+        key.verify(bytes.fromhex(signature), _encode_message(digest))
     except (ValueError, InvalidSignature):
         return False
     return True
 
 
-def _read_hex(text: str, prefix: str) -> bytes:
-    """Return the bytes behind the prefix; none when the text has another form."""
+def _decode_hex(text: str, prefix: str) -> bytes:
+    """Return the bytes after the prefix; no bytes if the text is malformed."""
     digits = text.strip().removeprefix(prefix)
     if not text.strip().startswith(prefix):
         return b""
@@ -121,10 +123,12 @@
         return b""
 
 
-def _message(digest: str) -> bytes:
-    return PURPOSE + digest.encode("utf-8", "surrogatepass")
+def _encode_message(digest: str) -> bytes:
+    return CONTEXT + digest.encode("utf-8", "surrogatepass")
 
 
-def _refuse_missing(message: str, operators: dict[str, str]) -> Result[None, Refusal]:
+def _refuse_missing_signature(
+    message: str, operators: dict[str, str]
+) -> Result[None, Refusal]:
     names = ", ".join(sorted(operators))
     return refuse(Code.SIGNATURE_MISSING, f"{message}; operators are {names}")
--- a/bronzerelay/withdrawal.py
+++ b/bronzerelay/withdrawal.py
@@ -3,7 +3,7 @@
 from expression import Ok, Result
 
 from bronzerelay.codes import Code, Refusal, refuse
-from bronzerelay.signing import find_signers, list_operators
+from bronzerelay.signing import find_valid_signers, list_operators
 from bronzerelay.types import Bundle, ConfigRecord, WorkspaceEntry
 
 
@@ -47,7 +47,7 @@
         return refuse(Code.SIGNATURE_MISSING, "this changes more than keys withdrawn")
     if not list_operators(record, in_force):
         return Ok(None)
-    if record["author"] not in find_signers(record, in_force):
+    if record["author"] not in find_valid_signers(record, in_force):
         message = f"there is no valid signature of {record['author']!r}"
         return refuse(Code.SIGNATURE_MISSING, message)
     return Ok(None)
