--- a/bronzerelay/bundlecommands.py
+++ b/bronzerelay/bundlecommands.py
@@ -10,9 +10,9 @@
 from bronzerelay.codes import Code
 from bronzerelay.following import wait_and_report
 from bronzerelay.options import (
-    FLEET,
+    FLEET_OPTIONS,
     PLATFORM,
-    SIGNER,
+    SIGNING_OPTIONS,
     WAIT,
     Session,
     read_bundle,
@@ -86,7 +86,7 @@
 
 @bundle.command(epilog=write_examples("bronzerelay bundle propose bundle.toml"))
 @click.argument("file")
-@with_options(*SIGNER)
+@with_options(*SIGNING_OPTIONS)
 def propose(session: Session, file: str) -> int:
     """Store the bundle of FILE for review, signed by you."""
     rollout = session.open_rollout()
@@ -98,7 +98,7 @@
 
 @bundle.command(epilog=write_examples("bronzerelay bundle sign sha256:3f..."))
 @click.argument("digest")
-@with_options(*SIGNER)
+@with_options(*SIGNING_OPTIONS)
 def sign(session: Session, digest: str) -> int:
     """Add your signature to the proposal with this DIGEST."""
     rollout = session.open_rollout()
@@ -142,7 +142,7 @@
 )
 @click.argument("target", metavar="FILE|DIGEST")
 @NO_WAIT
-@with_options(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNING_OPTIONS, *FLEET_OPTIONS, WAIT)
 def rollout(session: Session, target: str, no_wait: bool) -> int:
     """Put a bundle in force and wait until every daemon has it.
 
@@ -241,7 +241,7 @@
 @bundle.command(epilog=write_examples("bronzerelay bundle rollback 41"))
 @click.argument("version", type=click.IntRange(min=1))
 @NO_WAIT
-@with_options(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNING_OPTIONS, *FLEET_OPTIONS, WAIT)
 def rollback(session: Session, version: int, no_wait: bool) -> int:
     """Make a new version with the content of an old VERSION.
 
--- a/bronzerelay/cli.py
+++ b/bronzerelay/cli.py
@@ -11,7 +11,7 @@
 from bronzerelay.fleet import Counters, DaemonState, find_unasked
 from bronzerelay.keycommands import key
 from bronzerelay.logcommands import changes, story, summary
-from bronzerelay.options import FLEET, Session, with_options, write_examples
+from bronzerelay.options import FLEET_OPTIONS, Session, with_options, write_examples
 from bronzerelay.printing import (
     DONE,
     FAILED,
@@ -51,7 +51,7 @@
         "bronzerelay status --output json",
     )
 )
-@with_options(*FLEET)
+@with_options(*FLEET_OPTIONS)
 def status(session: Session) -> int:
     """Show each daemon's version and what it knows of the database groups.
 
@@ -74,7 +74,7 @@
 def _list_group_lines(states: list[DaemonState]) -> list[str]:
     lines = []
     for state in states:
-        groups: dict[str, Any] = (state.shown or {}).get("groups", {})
+        groups: dict[str, Any] = (state.raw_status or {}).get("groups", {})
         for name, group in sorted(groups.items()):
             lines.append(
                 f"  group {name} at {state.name}: primary "
@@ -96,7 +96,7 @@
 
 
 @main.command(epilog=write_examples("bronzerelay counters --output json"))
-@with_options(*FLEET)
+@with_options(*FLEET_OPTIONS)
 def counters(session: Session) -> int:
     """Sum the daemons' counters of refusals, retries and events.
 
--- a/bronzerelay/fleet.py
+++ b/bronzerelay/fleet.py
@@ -1,4 +1,4 @@
-"""What the daemons say about themselves, asked over HTTP by an operator."""
+"""Reads the daemons' status and metrics over HTTP, for the operators' commands."""
 
 import re
 import ssl
@@ -16,19 +16,19 @@
 
 STATUS_PATH = "/status"
 METRICS_PATH = "/metrics"
-# Enough to have every daemon of a large fleet answer within a few seconds, and few
-# enough to leave tasks over.
-QUESTIONS_AT_ONCE = 32
-ANSWER_MS = 1000
-POLL_MS = 100
-REFUSALS = "bronzerelay_refusals_total"
-RETRIES = "bronzerelay_retries_total"
-EVENTS = "bronzerelay_events_total"
-OBJECT_NAME = re.compile(r"^\w+\([^)]*\): | \(read timeout=[^)]*\)$")
+# Enough to query every daemon of a large fleet within a few seconds, and fewer than the
+# runtime's task limit.
+MAX_CONCURRENT_REQUESTS = 32
+REQUEST_TIMEOUT_MS = 1000
+POLL_INTERVAL_MS = 100
+REFUSALS_METRIC = "bronzerelay_refusals_total"
+RETRIES_METRIC = "bronzerelay_retries_total"
+EVENTS_METRIC = "bronzerelay_events_total"
+URLLIB3_DETAILS = re.compile(r"^\w+\([^)]*\): | \(read timeout=[^)]*\)$")
 
 
 class StatusBody(TypedDict):
-    """What the tool needs of a daemon's status; the rest is only shown."""
+    """The fields of a daemon's status that the commands use; the others are printed."""
 
     name: str
     config_version: int
@@ -39,40 +39,43 @@
 
 
 class DaemonState(NamedTuple):
-    """What one daemon answered; without an answer `status` is None."""
+    """One daemon's answer; without one, `status` is None and `problem` the reason."""
 
     address: Address
     status: StatusBody | None = None
-    shown: dict[str, Any] | None = None
+    raw_status: dict[str, Any] | None = None
     problem: str = ""
 
     @property
     def name(self) -> str:
-        """Return the name of the daemon, its address while that isn't known."""
+        """Return the name of the daemon, or its address while the name is unknown."""
         return self.status["name"] if self.status else str(self.address)
 
     @property
     def version(self) -> int | None:
-        """Return the version in force there, or None without an answer."""
+        """Return the version in force on the daemon, or None without an answer."""
         return self.status["config_version"] if self.status else None
 
 
 class RolloutStatus(NamedTuple):
-    """How far a version has come; `unasked` names live daemons not in the list."""
+    """Which daemons have a version in force, and which don't have it yet.
+
+    `unasked` holds the names of live daemons missing from the operator's list.
+    """
 
     version: int
     states: tuple[DaemonState, ...]
-    lacking: tuple[DaemonState, ...]
+    pending: tuple[DaemonState, ...]
     unasked: tuple[str, ...]
 
     @property
     def is_complete(self) -> bool:
         """Return whether every daemon has the version."""
-        return not self.lacking and not self.unasked
+        return not self.pending and not self.unasked
 
 
 class Counters(NamedTuple):
-    """Counters summed over the daemons that answered."""
+    """Counters summed over the daemons that answered; `silent` lists the others."""
 
     refusals: dict[str, float]
     retries: dict[str, float]
@@ -81,7 +84,7 @@
 
 
 class Fleet:
-    """The daemons that an operator names, with a pool of connections for each."""
+    """The daemons that an operator lists, with a connection pool for each."""
 
     def __init__(
         self,
@@ -96,8 +99,8 @@
         }
 
     def read_states(self) -> list[DaemonState]:
-        """Ask every daemon for its status."""
-        return self._ask_all(list(self._pools), self._read_state)
+        """Return the status of every daemon."""
+        return self._query_all(list(self._pools), self._read_state)
 
     def wait_in_force(
         self,
@@ -106,59 +109,63 @@
         timeout_ms: float,
         report: Callable[[RolloutStatus], None],
     ) -> RolloutStatus:
-        """Ask until every daemon has the version or a later one, or time is up.
+        """Poll until every daemon has the version or a later one, or until the timeout.
 
-        `report` is called after each round. A daemon that has the version with
-        another digest counts as one that lacks it.
+        `report` is called after each round of requests. A daemon that has the version
+        with another digest counts as one that lacks it.
         """
         end_ms = self._runtime.clock.now_ms() + timeout_ms
         states = {address: DaemonState(address) for address in self._pools}
         while True:
-            lacking = [a for a, s in states.items() if not has_version(s, version)]
-            for state in self._ask_all(lacking, self._read_state):
+            pending = [a for a, s in states.items() if not has_version(s, version)]
+            for state in self._query_all(pending, self._read_state):
                 states[state.address] = check_digest(state, version, digest)
-            arrival = _judge(version, states.values())
-            report(arrival)
-            if not arrival.lacking or self._runtime.clock.now_ms() >= end_ms:
-                return arrival
-            self._runtime.sleep_ms(POLL_MS)
+            rollout_status = _make_rollout_status(version, states.values())
+            report(rollout_status)
+            if not rollout_status.pending or self._runtime.clock.now_ms() >= end_ms:
+                return rollout_status
+            self._runtime.sleep_ms(POLL_INTERVAL_MS)
 
     def read_counters(self) -> Counters:
         """Return the sums of the daemons' counters."""
-        pages = self._ask_all(list(self._pools), self._read_page)
-        silent = [str(a) for a, page in pages if page.is_error()]
-        return _sum_counters([page.ok for _, page in pages if page.is_ok()], silent)
-
-    def _ask_all(
-        self, addresses: list[Address], ask: Callable[[Address], Any]
+        responses = self._query_all(list(self._pools), self._read_metrics)
+        silent = [str(a) for a, response in responses if response.is_error()]
+        return _sum_counters(
+            [response.ok for _, response in responses if response.is_ok()], silent
+        )
+
+    def _query_all(
+        self, addresses: list[Address], query: Callable[[Address], Any]
     ) -> list[Any]:
         answers = []
-        for start in range(0, len(addresses), QUESTIONS_AT_ONCE):
-            part = addresses[start : start + QUESTIONS_AT_ONCE]
-            futures = [self._runtime.start(ask, address) for address in part]
+        for start in range(0, len(addresses), MAX_CONCURRENT_REQUESTS):
+            batch = addresses[start : start + MAX_CONCURRENT_REQUESTS]
+            futures = [self._runtime.start(query, address) for address in batch]
             answers += [future.result() for future in futures]
         return answers
 
     def _read_state(self, address: Address) -> DaemonState:
-        page = self._get(address, STATUS_PATH)
-        if page.is_error():
-            return DaemonState(address, problem=page.error.message)
+        response = self._get(address, STATUS_PATH)
+        if response.is_error():
+            return DaemonState(address, problem=response.error.message)
         try:
-            shown = msgspec.json.decode(page.ok, type=dict[str, Any])
-            status = msgspec.convert(shown, StatusBody)
+            raw_status = msgspec.json.decode(response.ok, type=dict[str, Any])
+            status = msgspec.convert(raw_status, StatusBody)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return DaemonState(address, problem=f"its status can't be read: {error}")
-        return DaemonState(address, status, shown)
+        return DaemonState(address, status, raw_status)
 
-    def _read_page(self, address: Address) -> tuple[Address, Result[bytes, Refusal]]:
+    def _read_metrics(self, address: Address) -> tuple[Address, Result[bytes, Refusal]]:
         return address, self._get(address, METRICS_PATH)
 
     def _get(self, address: Address, path: str) -> Result[bytes, Refusal]:
-        timeout = urllib3.Timeout(total=ANSWER_MS / 1000)
+        timeout = urllib3.Timeout(total=REQUEST_TIMEOUT_MS / 1000)
         try:
             response = self._pools[address].urlopen("GET", path, timeout=timeout)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return refuse(Code.PEER_UNREACHABLE, f"gave no answer: {_shorten(error)}")
+            return refuse(
+                Code.PEER_UNREACHABLE, f"gave no answer: {_format_reason(error)}"
+            )
         if response.status != HTTPStatus.OK:
             return refuse(Code.PEER_UNREACHABLE, f"answered {response.status}")
         return Ok(response.data)
@@ -170,10 +177,10 @@
 
 
 def check_digest(state: DaemonState, version: int, digest: str) -> DaemonState:
-    """Return the state as that of a silent daemon when it has another bundle.
+    """Return the state, without its status if the daemon has another bundle.
 
-    Two bundles under one version mean that somebody has written to the platform past
-    the compare-and-swap; to call it in force would hide that.
+    Two bundles with one version mean that somebody has written to the platform
+    without compare-and-swap; counting the daemon as up to date would hide that.
     """
     if state.version != version or state.status["digest"] == digest:
         return state
@@ -181,18 +188,19 @@
     return DaemonState(state.address, problem=problem)
 
 
-def _judge(version: int, states: Iterable[DaemonState]) -> RolloutStatus:
+def _make_rollout_status(version: int, states: Iterable[DaemonState]) -> RolloutStatus:
     states = tuple(states)
-    lacking = tuple(state for state in states if not has_version(state, version))
-    return RolloutStatus(version, states, lacking, find_unasked(states))
+    pending = tuple(state for state in states if not has_version(state, version))
+    return RolloutStatus(version, states, pending, find_unasked(states))
 
 
 def find_unasked(states: Iterable[DaemonState]) -> tuple[str, ...]:
-    """Return the live daemons that others know and that weren't asked.
+    """Return the names of live daemons that the others report but that weren't asked.
 
-    A list that lacks a new VM would let "in force everywhere" be said too early. When
-    a daemon doesn't answer its name isn't known, so it would be taken for one that
-    wasn't asked; then nothing is said here, as the answer is "not everywhere" anyway.
+    If the operator's list lacked a new VM, "in force everywhere" would be reported too
+    early. If a daemon doesn't answer, its name is unknown, and it would be mistaken
+    for one that wasn't asked. Then the result is empty, as the version isn't in force
+    everywhere anyway.
     """
     statuses = [state.status for state in states]
     if None in statuses:
@@ -207,10 +215,10 @@
     return tuple(sorted(alive - asked))
 
 
-def _sum_counters(pages: list[bytes], silent: list[str]) -> Counters:
+def _sum_counters(bodies: list[bytes], silent: list[str]) -> Counters:
     sums = Counters({}, {}, {}, tuple(silent))
-    for page in pages:
-        for family in text_string_to_metric_families(page.decode()):
+    for body in bodies:
+        for family in text_string_to_metric_families(body.decode()):
             for sample in family.samples:
                 _add_sample(sums, sample.name, sample.labels, sample.value)
     return sums
@@ -219,17 +227,17 @@
 def _add_sample(
     sums: Counters, name: str, labels: dict[str, str], value: float
 ) -> None:
-    if name == REFUSALS:
-        table, line = sums.refusals, f"{labels['code']} {labels['name']}"
-    elif name == RETRIES:
-        table, line = sums.retries, labels["reason"]
-    elif name == EVENTS:
-        table, line = sums.events, labels["event"]
+    if name == REFUSALS_METRIC:
+        table, key = sums.refusals, f"{labels['code']} {labels['name']}"
+    elif name == RETRIES_METRIC:
+        table, key = sums.retries, labels["reason"]
+    elif name == EVENTS_METRIC:
+        table, key = sums.events, labels["event"]
     else:
         return
-    table[line] = table.get(line, 0) + value
+    table[key] = table.get(key, 0) + value
 
 
-def _shorten(error: Exception) -> str:
-    """Return the reason without the object that urllib3 names before it."""
-    return OBJECT_NAME.sub("", str(error))
+def _format_reason(error: Exception) -> str:
+    """Return the error's text without the object names that urllib3 adds."""
+    return URLLIB3_DETAILS.sub("", str(error))
--- a/bronzerelay/keycommands.py
+++ b/bronzerelay/keycommands.py
@@ -10,9 +10,9 @@
 from bronzerelay.following import wait_and_report
 from bronzerelay.keys import hash_key, make_key
 from bronzerelay.options import (
-    FLEET,
+    FLEET_OPTIONS,
     OPERATOR,
-    SIGNER,
+    SIGNING_OPTIONS,
     WAIT,
     Session,
     with_options,
@@ -107,7 +107,7 @@
 )
 @click.argument("workspace")
 @click.argument("key_id", metavar="ID")
-@with_options(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNING_OPTIONS, *FLEET_OPTIONS, WAIT)
 def withdraw(session: Session, workspace: str, key_id: str) -> int:
     """Withdraw the key ID of WORKSPACE now, and wait until it has stopped.
 
--- a/bronzerelay/options.py
+++ b/bronzerelay/options.py
@@ -1,4 +1,4 @@
-"""The flags and variables that the operators' commands share."""
+"""The flags and environment variables that the operators' commands share."""
 
 import contextlib
 import functools
@@ -30,9 +30,9 @@
 )
 from bronzerelay.types import Bundle
 
-TASKS = 64
-END_MS = 1000
-# A version normally arrives within a second.
+TASK_LIMIT = 64
+CLOSE_DEADLINE_MS = 1000
+# A new version is normally in force on every daemon within a second.
 DEFAULT_WAIT_MS = 15_000
 PLATFORM_TIMEOUT_MS = 5_000
 
@@ -43,12 +43,12 @@
 DAEMON_CA = "daemon_ca"
 WAIT = "wait_ms"
 OUTPUT = "output"
-SIGNER = (PLATFORM, OPERATOR, OPERATOR_KEY)
-FLEET = (DAEMONS, DAEMON_CA)
+SIGNING_OPTIONS = (PLATFORM, OPERATOR, OPERATOR_KEY)
+FLEET_OPTIONS = (DAEMONS, DAEMON_CA)
 
 
 class ToolSettings(NamedTuple):
-    """All settings of the command line; a command takes those that it needs."""
+    """All settings of the command line; each command sets only those that it uses."""
 
     platform: tuple[Address, ...] = ()
     operator: str = ""
@@ -75,20 +75,23 @@
         PLATFORM, "The platform's key-value service.", type=ADDRESSES, required=True
     ),
     OPERATOR: _make_option(
-        OPERATOR, "Your name, as the bundle has it.", type=NAME, required=True
+        OPERATOR, "Your operator name in the bundle.", type=NAME, required=True
     ),
     OPERATOR_KEY: _make_option(
         OPERATOR_KEY,
-        "The file with your private key; needed where bundles are signed.",
+        "The file with your private key; required if bundles must be signed.",
         type=click.Path(exists=True, dir_okay=False),
         default=None,
     ),
     DAEMONS: _make_option(
-        DAEMONS, "Every daemon's address for callers.", type=ADDRESSES, default=None
+        DAEMONS,
+        "Every daemon's listen address for callers.",
+        type=ADDRESSES,
+        default=None,
     ),
     DAEMON_CA: _make_option(
         DAEMON_CA,
-        "The file with the certificates (PEM) to trust; turns TLS on.",
+        "The file with the CA certificates (PEM) to trust; enables TLS.",
         type=click.Path(exists=True, dir_okay=False),
         default=None,
     ),
@@ -110,7 +113,7 @@
 
 
 class Session(NamedTuple):
-    """The settings of one command, and the world outside."""
+    """The runtime and the settings of one command; unrelated to callers' sessions."""
 
     runtime: Runtime
     settings: ToolSettings
@@ -121,14 +124,14 @@
         return self.settings.output
 
     def open_rollout(self) -> Rollout:
-        """Return the control object for the operator of the settings."""
+        """Return the rollout commands of the operator in the settings."""
         name = self.settings.operator or "nobody"
         settings = KeyValueSettings(self.settings.platform, name, PLATFORM_TIMEOUT_MS)
         key_value = registry.find(registry.KEY_VALUE, "http")(self.runtime, settings)
         return Rollout(key_value, Operator(name, self._read_private_key()))
 
     def open_fleet(self) -> Fleet:
-        """Return the daemons of the settings, or end with a usage error."""
+        """Return the daemons in the settings; without any, raise a usage error."""
         if not self.settings.daemons:
             message = (
                 "--daemons (env var: BRONZERELAY_DAEMONS) is missing. "
@@ -152,24 +155,29 @@
         try:
             return read_text(self.settings.operator_key).strip()
         except (OSError, ValueError) as error:
-            # The error names the file and never shows what it holds.
+            # Only the error's type is shown: its text might quote the file.
             message = f"--operator-key can't be read: {type(error).__name__}"
             raise click.UsageError(message) from None
 
 
 def with_options(*names: str) -> Callable:
-    """Return a decorator that adds options and hands in a Session first.
+    """Return a decorator that adds these options and --output to a command.
 
-    The command returns its exit code.
+    The command's function gets a Session as its first argument and returns the exit
+    code.
     """
 
     def decorate(function: Callable[..., int]) -> Callable:
         @click.pass_context
         @functools.wraps(function)
         def run(ctx: click.Context, **values: Any) -> None:
-            given = {name: values.pop(name) for name in (*names, OUTPUT)}
-            given = {name: value for name, value in given.items() if value is not None}
-            with open_session(ToolSettings(**given)) as session:
+            option_values = {name: values.pop(name) for name in (*names, OUTPUT)}
+            option_values = {
+                name: value
+                for name, value in option_values.items()
+                if value is not None
+            }
+            with open_session(ToolSettings(**option_values)) as session:
                 code = function(session, **values)
             ctx.exit(code)
 
@@ -182,23 +190,25 @@
 
 @contextlib.contextmanager
 def open_session(settings: ToolSettings) -> Iterator[Session]:
-    """Return a session that ends with the block."""
-    runtime = Runtime(TASKS)
+    """Return a context manager with a Session, whose runtime is closed at the end."""
+    runtime = Runtime(TASK_LIMIT)
     try:
         yield Session(runtime, settings)
     finally:
-        runtime.close(END_MS)
+        runtime.close(CLOSE_DEADLINE_MS)
 
 
 def write_examples(*lines: str) -> str:
-    """Return the part of a command's help with its examples, one a line."""
+    """Return the examples section of a command's help, one example per line."""
     return "\n".join(["\b", "Examples:", *(f"  {line}" for line in lines)])
 
 
 def read_target(rollout: Rollout, target: str) -> Result[Bundle, RolloutError]:
-    """Return the bundle of a file, or of the proposal with this digest."""
+    """Return the bundle of a file or, if `target` is a digest, of that proposal."""
     if target.startswith(DIGEST_PREFIX):
-        return rollout.records.read_proposal(target).map(lambda one: one["bundle"])
+        return rollout.records.read_proposal(target).map(
+            lambda record: record["bundle"]
+        )
     return read_bundle(target)
 
 
--- a/bronzerelay/printing.py
+++ b/bronzerelay/printing.py
@@ -1,4 +1,4 @@
-"""What the command line prints, as text or as JSON, and its exit codes."""
+"""Output of the command line, as text or as JSON, and its exit codes."""
 
 import sys
 from collections.abc import Iterable
@@ -16,17 +16,17 @@
 from bronzerelay.outcomes import Rival, RolloutError
 from bronzerelay.schema import Mistake
 
-# docs/OPERATIONS.md lists these for scripts.
+# Scripts rely on these values; docs/OPERATIONS.md lists them.
 DONE = 0
 FAILED = 1
 USAGE = 2
-COMPARE_LOST = 3
-PLATFORM_AWAY = 4
+COMPARE_FAILED = 3
+PLATFORM_UNAVAILABLE = 4
 NOT_EVERYWHERE = 5
 
 EXIT_CODES = {
-    Code.COMPARE_FAILED: COMPARE_LOST,
-    Code.PLATFORM_UNAVAILABLE: PLATFORM_AWAY,
+    Code.COMPARE_FAILED: COMPARE_FAILED,
+    Code.PLATFORM_UNAVAILABLE: PLATFORM_UNAVAILABLE,
 }
 
 TEXT = "text"
@@ -59,18 +59,21 @@
 
 def list_changes(changes: Iterable[Change]) -> list[str]:
     """Return a line for each difference."""
-    return [f"  {one.path}: {_show(one.old)} -> {_show(one.new)}" for one in changes]
+    return [
+        f"  {change.path}: {_format_value(change.old)} -> {_format_value(change.new)}"
+        for change in changes
+    ]
 
 
 def list_mistakes(mistakes: Iterable[Mistake]) -> list[str]:
     """Return a line for each mistake, with what is allowed."""
     return [
-        f"  {one.path or 'the file'} {one.message}; allowed: {one.allowed}"
-        for one in mistakes
+        f"  {mistake.path or 'the file'} {mistake.message}; allowed: {mistake.allowed}"
+        for mistake in mistakes
     ]
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return "(absent)" if value is None else msgspec.json.encode(value).decode()
 
 
@@ -86,12 +89,12 @@
     if error.rival:
         described["rival"] = describe_rival(error.rival)
     if error.mistakes:
-        described["mistakes"] = [one._asdict() for one in error.mistakes]
+        described["mistakes"] = [mistake._asdict() for mistake in error.mistakes]
     return described
 
 
 def describe_rival(rival: Rival) -> dict[str, Any]:
-    """Return the rival as JSON shows it."""
+    """Return the JSON form of the version that a command lost to."""
     changes = [change._asdict() for change in rival.changes]
     return {**rival._asdict(), "changes": changes}
 
@@ -115,18 +118,18 @@
 
 
 def describe_state(state: DaemonState) -> dict[str, Any]:
-    """Return a daemon as JSON shows it."""
-    if state.shown is None:
+    """Return the JSON form of a daemon's state."""
+    if state.raw_status is None:
         return {"address": str(state.address), "problem": state.problem}
-    return {"address": str(state.address), **state.shown}
+    return {"address": str(state.address), **state.raw_status}
 
 
 def list_state_lines(states: Iterable[DaemonState]) -> list[str]:
     """Return a line for each daemon."""
-    return [_show_state(state) for state in states]
+    return [_format_state(state) for state in states]
 
 
-def _show_state(state: DaemonState) -> str:
+def _format_state(state: DaemonState) -> str:
     if state.status is None:
         return f"  {state.address}: no version known; {state.problem}"
     parts = [f"  {state.name} ({state.address}): version {state.version}"]
@@ -137,48 +140,48 @@
     return ", ".join(parts)
 
 
-def describe_rollout_status(arrival: RolloutStatus) -> dict[str, Any]:
-    """Return how far a version has come, as JSON shows it."""
+def describe_rollout_status(status: RolloutStatus) -> dict[str, Any]:
+    """Return the JSON form of a rollout's status."""
     return {
-        "version": arrival.version,
-        "in_force_everywhere": arrival.is_complete,
+        "version": status.version,
+        "in_force_everywhere": status.is_complete,
         "daemons": [
             {
                 "address": str(state.address),
                 "name": state.name,
                 "version": state.version,
-                "in_force": has_version(state, arrival.version),
+                "in_force": has_version(state, status.version),
                 "problem": state.problem,
             }
-            for state in arrival.states
+            for state in status.states
         ],
-        "unasked": list(arrival.unasked),
+        "unasked": list(status.unasked),
     }
 
 
-def list_rollout_status_lines(arrival: RolloutStatus) -> list[str]:
-    """Return where the version is in force and where it isn't."""
-    count = len(arrival.states) - len(arrival.lacking)
+def list_rollout_status_lines(status: RolloutStatus) -> list[str]:
+    """Return lines that say on which daemons the version is in force."""
+    count = len(status.states) - len(status.pending)
     lines = [
-        f"version {arrival.version} is in force on {count} of "
-        f"{len(arrival.states)} daemons"
+        f"version {status.version} is in force on {count} of "
+        f"{len(status.states)} daemons"
     ]
-    if arrival.lacking:
-        lines += ["not there:", *list_state_lines(arrival.lacking)]
-    if arrival.unasked:
-        names = ", ".join(arrival.unasked)
+    if status.pending:
+        lines += ["not there:", *list_state_lines(status.pending)]
+    if status.unasked:
+        names = ", ".join(status.unasked)
         lines.append(f"alive but not in --daemons, so not asked: {names}")
     return lines
 
 
 class Progress:
-    """Shows how far a version has come: a table at a terminal, plain lines else."""
+    """Shows the status of a rollout: as a table on a terminal, otherwise as lines."""
 
     def __init__(self, output: str):
         self._output = output
         self._console = Console(stderr=True)
         self._live: Live | None = None
-        self._shown: set[str] = set()
+        self._reported_names: set[str] = set()
 
     def __enter__(self) -> "Progress":
         if self._output == TEXT and sys.stderr.isatty():
@@ -190,27 +193,30 @@
         if self._live:
             self._live.stop()
 
-    def report(self, arrival: RolloutStatus) -> None:
-        """Show one round of questions."""
+    def report(self, status: RolloutStatus) -> None:
+        """Show the status after one round of requests."""
         if self._output == JSON:
             return
         if self._live:
-            self._live.update(draw_rollout_status(arrival), refresh=True)
+            self._live.update(draw_rollout_status(status), refresh=True)
             return
-        for state in arrival.states:
-            if has_version(state, arrival.version) and state.name not in self._shown:
-                self._shown.add(state.name)
+        for state in status.states:
+            if (
+                has_version(state, status.version)
+                and state.name not in self._reported_names
+            ):
+                self._reported_names.add(state.name)
                 click.echo(f"{state.name}: version {state.version}", err=True)
 
 
-def draw_rollout_status(arrival: RolloutStatus) -> Table:
-    """Return the table of a rollout."""
-    count = len(arrival.states) - len(arrival.lacking)
-    title = f"version {arrival.version}: {count} of {len(arrival.states)} daemons"
+def draw_rollout_status(status: RolloutStatus) -> Table:
+    """Return the table that shows a rollout's status."""
+    count = len(status.states) - len(status.pending)
+    title = f"version {status.version}: {count} of {len(status.states)} daemons"
     table = Table("daemon", "address", "version", "", title=title)
-    for state in arrival.states:
-        done = has_version(state, arrival.version)
+    for state in status.states:
+        done = has_version(state, status.version)
         version = "?" if state.version is None else str(state.version)
-        word = "in force" if done else state.problem or "waiting"
-        table.add_row(state.name, str(state.address), version, word)
+        state_text = "in force" if done else state.problem or "waiting"
+        table.add_row(state.name, str(state.address), version, state_text)
     return table
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,11 +12,11 @@
 from bronzerelay.cli import main
 from bronzerelay.codes import Code
 from bronzerelay.printing import (
-    COMPARE_LOST,
+    COMPARE_FAILED,
     DONE,
     FAILED,
     NOT_EVERYWHERE,
-    PLATFORM_AWAY,
+    PLATFORM_UNAVAILABLE,
     USAGE,
 )
 from standins.platform import REFUSE
@@ -174,7 +174,7 @@
     assert tool.run("bundle", "propose", late).exit_code == DONE
     tool.roll_out(tool.team.make_bundle(2))
     result = tool.run("bundle", "rollout", late)
-    assert result.exit_code == COMPARE_LOST
+    assert result.exit_code == COMPARE_FAILED
     assert "version 2 of ana" in result.stderr
     assert "workspaces[north].rate: 100.0 -> 50.0" in result.stderr
 
@@ -195,7 +195,7 @@
     path = tool.write(tool.team.make_bundle())
     tool.team.platform.server.set_fault(REFUSE)
     code, answer = tool.run_json("bundle", "propose", path)
-    assert (code, answer["ran"]) == (PLATFORM_AWAY, "not_run")
+    assert (code, answer["ran"]) == (PLATFORM_UNAVAILABLE, "not_run")
 
 
 def test_a_rollout_that_a_daemon_lacks_ends_with_its_own_code(tool):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -45,7 +45,7 @@
     arrival = fleet.wait_in_force(1, record["digest"], LONG_MS, lambda _: None)
     assert arrival.is_complete
     arrival = fleet.wait_in_force(1, "sha256:other", 0, lambda _: None)
-    assert "another bundle" in arrival.lacking[0].problem
+    assert "another bundle" in arrival.pending[0].problem
 
 
 def test_a_page_that_is_no_status_counts_as_no_answer(platform):
