--- a/bronzerelay/bundlecommands.py
+++ b/bronzerelay/bundlecommands.py
@@ -1,4 +1,4 @@
-"""The commands for bundles: from a file to a version in force, and back."""
+"""The commands for bundles: check, review, sign, roll out and roll back."""
 
 from typing import Any
 
@@ -27,7 +27,9 @@
 
 HISTORY_LIMIT = 20
 NO_WAIT = click.option(
-    "--no-wait", is_flag=True, help="Don't wait for the daemons, as before the first."
+    "--no-wait",
+    is_flag=True,
+    help="Don't wait for the daemons, e.g. when none runs yet.",
 )
 
 
@@ -41,12 +43,12 @@
 @with_options()
 def check(session: Session, file: str) -> int:
     """Check FILE and list every mistake in it."""
-    found = read_bundle(file)
-    if found.is_error():
-        return show_error(session.output, found.error)
-    digest = digest_bundle(found.ok)
-    data = {"version": found.ok["version"], "digest": digest, "mistakes": []}
-    line = f"{file} has no mistakes: version {found.ok['version']}, {digest}"
+    parsed = read_bundle(file)
+    if parsed.is_error():
+        return show_error(session.output, parsed.error)
+    digest = digest_bundle(parsed.ok)
+    data = {"version": parsed.ok["version"], "digest": digest, "mistakes": []}
+    line = f"{file} has no mistakes: version {parsed.ok['version']}, {digest}"
     show(session.output, data, [line])
     return DONE
 
@@ -62,21 +64,21 @@
 @click.option("--against", type=int, help="A version; by default the one in force.")
 @with_options(PLATFORM)
 def diff(session: Session, target: str, against: int | None) -> int:
-    """Show how a bundle differs from what is in force."""
+    """Show how a bundle differs from the version in force or another one."""
     rollout = session.open_rollout()
     new = read_target(rollout, target)
     if new.is_error():
         return show_error(session.output, new.error)
-    old = _read_old(rollout, against)
-    if old.is_error():
-        return show_error(session.output, old.error)
-    changes = diff_bundles(old.ok, new.ok)
+    old_bundle = _read_old_bundle(rollout, against)
+    if old_bundle.is_error():
+        return show_error(session.output, old_bundle.error)
+    changes = diff_bundles(old_bundle.ok, new.ok)
     data = {"changes": [change._asdict() for change in changes]}
     show(session.output, data, list_changes(changes) or ["no difference"])
     return DONE
 
 
-def _read_old(
+def _read_old_bundle(
     rollout: Rollout, version: int | None
 ) -> Result[Bundle | None, RolloutError]:
     if version is None:
@@ -88,7 +90,7 @@
 @click.argument("file")
 @with_options(*SIGNING_OPTIONS)
 def propose(session: Session, file: str) -> int:
-    """Store the bundle of FILE for review, signed by you."""
+    """Store the bundle of FILE for review, with your signature."""
     rollout = session.open_rollout()
     proposed = read_bundle(file).bind(rollout.propose)
     if proposed.is_error():
@@ -146,27 +148,27 @@
 def rollout(session: Session, target: str, no_wait: bool) -> int:
     """Put a bundle in force and wait until every daemon has it.
 
-    A FILE is proposed first, if it isn't yet.
+    A FILE is proposed first, unless it has been already.
     """
     fleet = None if no_wait else session.open_fleet()
-    control = session.open_rollout()
+    rollout = session.open_rollout()
     digest = Ok(target)
     if not target.startswith(DIGEST_PREFIX):
-        digest = read_bundle(target).bind(control.propose).map(lambda r: r["digest"])
-    result = digest.bind(lambda found: _put_in_force(control, found))
+        digest = read_bundle(target).bind(rollout.propose).map(lambda r: r["digest"])
+    result = digest.bind(lambda value: _put_in_force(rollout, value))
     if result.is_error():
         return show_error(session.output, result.error)
     return wait_and_report(session, fleet, result.ok)
 
 
-def _put_in_force(control: Rollout, digest: str) -> Result[RolloutResult, RolloutError]:
-    return control.put_in_force(digest).map_error(
+def _put_in_force(rollout: Rollout, digest: str) -> Result[RolloutResult, RolloutError]:
+    return rollout.put_in_force(digest).map_error(
         lambda error: _add_next_step(error, digest)
     )
 
 
 def _add_next_step(error: RolloutError, digest: str) -> RolloutError:
-    """Return the error with the command that helps, if a signature is missing."""
+    """Return the error with the command to run next, if a signature is missing."""
     refusal = error.refusal
     if refusal.code is not Code.SIGNATURE_MISSING:
         return error
@@ -190,11 +192,11 @@
 @with_options(PLATFORM)
 def show_version(session: Session, version: str) -> int:
     """Print a version as TOML, by default the one in force."""
-    control = session.open_rollout()
-    found = _find_record(control, version)
-    if found.is_error():
-        return show_error(session.output, found.error)
-    record = found.ok
+    rollout = session.open_rollout()
+    stored = _read_record(rollout, version)
+    if stored.is_error():
+        return show_error(session.output, stored.error)
+    record = stored.ok
     signers = ", ".join(entry["operator"] for entry in record["signatures"])
     lines = [
         f"# version {record['version']} of {record['author']}, {record['digest']}",
@@ -205,14 +207,14 @@
     return DONE
 
 
-def _find_record(control: Rollout, version: str) -> Result[ConfigRecord, RolloutError]:
+def _read_record(rollout: Rollout, version: str) -> Result[ConfigRecord, RolloutError]:
     if version.startswith(DIGEST_PREFIX):
-        return control.records.read_proposal(version)
+        return rollout.records.read_proposal(version)
     if version:
         if not version.isdigit():
             raise click.BadParameter("VERSION is a whole number or a digest.")
-        return control.records.read_version(int(version))
-    return control.records.read_in_force()
+        return rollout.records.read_version(int(version))
+    return rollout.records.read_in_force()
 
 
 @bundle.command(epilog=write_examples("bronzerelay bundle history --limit 5"))
@@ -226,14 +228,16 @@
 @with_options(PLATFORM)
 def history(session: Session, limit: int) -> int:
     """List the latest versions, the one in force first."""
-    found = session.open_rollout().records.list_history(limit)
-    if found.is_error():
-        return show_error(session.output, found.error)
+    records = session.open_rollout().records.list_history(limit)
+    if records.is_error():
+        return show_error(session.output, records.error)
     data = [
         {name: record[name] for name in ("version", "digest", "author", "signatures")}
-        for record in found.ok
+        for record in records.ok
+    ]
+    lines = [
+        f"{entry['version']}  {entry['author']}  {entry['digest']}" for entry in data
     ]
-    lines = [f"{one['version']}  {one['author']}  {one['digest']}" for one in data]
     show(session.output, {"versions": data}, lines or ["nothing is in force yet"])
     return DONE
 
@@ -245,19 +249,19 @@
 def rollback(session: Session, version: int, no_wait: bool) -> int:
     """Make a new version with the content of an old VERSION.
 
-    Keys that were withdrawn since stay withdrawn, and the operators stay those in
-    force. It needs the signatures that every bundle needs.
+    Keys withdrawn since then stay withdrawn, and the operators stay those in force. The
+    new version needs signatures like any other.
     """
     fleet = None if no_wait else session.open_fleet()
-    control = session.open_rollout()
-    made = control.rollback(version)
-    if made.is_error():
-        return show_error(session.output, made.error)
-    result = _put_in_force(control, made.ok.record["digest"])
+    rollout = session.open_rollout()
+    proposal = rollout.rollback(version)
+    if proposal.is_error():
+        return show_error(session.output, proposal.error)
+    result = _put_in_force(rollout, proposal.ok.record["digest"])
     if result.is_error():
         return show_error(session.output, result.error)
     notes = result.ok.notes
-    if made.ok.omitted_keys:
-        names = ", ".join(made.ok.omitted_keys)
+    if proposal.ok.omitted_keys:
+        names = ", ".join(proposal.ok.omitted_keys)
         notes = (*notes, f"withdrawn since, so not brought back: {names}")
     return wait_and_report(session, fleet, result.ok._replace(notes=notes))
--- a/bronzerelay/cli.py
+++ b/bronzerelay/cli.py
@@ -29,10 +29,10 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name=PROGRAM)
 def main() -> None:
-    """Run the database proxy bronzerelay by signed configuration bundles.
+    """Operate the database proxy bronzerelay with signed configuration bundles.
 
-    Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 another operator was
-    faster, 4 the platform is unavailable, 5 not in force everywhere in time.
+    Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 another operator's version
+    came first, 4 the platform is unavailable, 5 not in force everywhere in time.
     """
 
 
@@ -53,9 +53,9 @@
 )
 @with_options(*FLEET_OPTIONS)
 def status(session: Session) -> int:
-    """Show each daemon's version and what it knows of the database groups.
+    """Show each daemon's version and its view of the database groups.
 
-    It exits with 1 when a daemon gives no answer.
+    Exits with 1 if a daemon gives no answer.
     """
     states = session.open_fleet().read_states()
     unasked = find_unasked(states)
@@ -81,17 +81,19 @@
                 f"{group.get('primary') or 'none'}, term {group.get('term')}"
             )
             lines += [
-                f"    {endpoint}: {_show_endpoint(shown)}"
-                for endpoint, shown in sorted(group.get("endpoints", {}).items())
+                f"    {endpoint}: {_format_endpoint(endpoint_status)}"
+                for endpoint, endpoint_status in sorted(
+                    group.get("endpoints", {}).items()
+                )
             ]
     return lines
 
 
-def _show_endpoint(shown: dict[str, Any]) -> str:
-    reachable = "reachable" if shown.get("reachable") else "not reachable"
+def _format_endpoint(endpoint_status: dict[str, Any]) -> str:
+    reachable = "reachable" if endpoint_status.get("reachable") else "not reachable"
     return (
-        f"{shown.get('role')}, term {shown.get('term')}, "
-        f"position {shown.get('position')}, {reachable}"
+        f"{endpoint_status.get('role')}, term {endpoint_status.get('term')}, "
+        f"position {endpoint_status.get('position')}, {reachable}"
     )
 
 
@@ -100,17 +102,17 @@
 def counters(session: Session) -> int:
     """Sum the daemons' counters of refusals, retries and events.
 
-    It exits with 1 when a daemon gives no answer.
+    Exits with 1 if a daemon gives no answer.
     """
-    found = session.open_fleet().read_counters()
+    totals = session.open_fleet().read_counters()
     lines = [
-        *_list_counter_lines("refusals", found.refusals),
-        *_list_counter_lines("retries", found.retries),
-        *_list_counter_lines("events", found.events),
-        *(f"no answer from {address}" for address in found.silent),
+        *_list_counter_lines("refusals", totals.refusals),
+        *_list_counter_lines("retries", totals.retries),
+        *_list_counter_lines("events", totals.events),
+        *(f"no answer from {address}" for address in totals.silent),
     ]
-    show(session.output, Counters._asdict(found), lines)
-    return FAILED if found.silent else DONE
+    show(session.output, Counters._asdict(totals), lines)
+    return FAILED if totals.silent else DONE
 
 
 def _list_counter_lines(title: str, table: dict[str, float]) -> list[str]:
@@ -123,15 +125,22 @@
 @with_options()
 def explain(session: Session, code: str) -> int:
     """Explain a result CODE, given as its number or name."""
-    found = _find_code(code)
-    if found is None:
-        names = ", ".join(f"{int(one)} {one.name.lower()}" for one in Code)
+    result_code = _find_code(code)
+    if result_code is None:
+        names = ", ".join(
+            f"{int(known_code)} {known_code.name.lower()}" for known_code in Code
+        )
         refused = refuse(Code.NOT_FOUND, f"no code {code!r}; there are {names}")
         return show_refusal(session.output, refused.error)
-    entry = CODES[found]
-    data = {"code": int(found), "name": found.name.lower(), **entry._asdict()}
+    entry = CODES[result_code]
+    data = {
+        "code": int(result_code),
+        "name": result_code.name.lower(),
+        **entry._asdict(),
+    }
     lines = [
-        f"{int(found)} {found.name.lower()}: HTTP status {entry.status}, {entry.ran}",
+        f"{int(result_code)} {result_code.name.lower()}: "
+        f"HTTP status {entry.status}, {entry.ran}",
         entry.advice,
     ]
     show(session.output, data, lines)
@@ -154,11 +163,11 @@
 @click.argument("shell", type=click.Choice(SHELLS))
 @with_options()
 def completion(session: Session, shell: str) -> int:
-    """Print the script that completes commands in a SHELL."""
-    complete = get_completion_class(shell)(main, {}, PROGRAM, COMPLETE_VARIABLE)
-    # Its method source() would start a bash to learn its version; a process of this
-    # project starts no other.
-    script = complete.source_template % complete.source_vars()
+    """Print the completion script for a SHELL."""
+    completer = get_completion_class(shell)(main, {}, PROGRAM, COMPLETE_VARIABLE)
+    # source() isn't used: for bash it would run a subprocess to check bash's version,
+    # and this project's processes start no others.
+    script = completer.source_template % completer.source_vars()
     show(session.output, {"shell": shell, "script": script}, [script])
     return DONE
 
--- a/bronzerelay/filecommands.py
+++ b/bronzerelay/filecommands.py
@@ -26,11 +26,17 @@
 
 
 def edit_file(
-    session: Session, file: str, edit: Edit, done: str, *secrets: str, **data: Any
+    session: Session,
+    file: str,
+    edit: Edit,
+    success_message: str,
+    *secrets: str,
+    **data: Any,
 ) -> int:
     """Edit the file, print the outcome and return the exit code.
 
-    What is in `secrets` is printed only after the file has been written.
+    The lines in `secrets` are printed only after the file has been written. `data` are
+    the fields of the JSON output.
     """
     text = read_file(file)
     if text.is_error():
@@ -41,8 +47,8 @@
     try:
         write_text(file, edited.ok.text)
     except OSError as error:
-        return _show_missing(session, f"{file} can't be written: {error.strerror}")
-    lines = [done, *secrets]
+        return _show_failure(session, f"{file} can't be written: {error.strerror}")
+    lines = [success_message, *secrets]
     if edited.ok.rewritten:
         lines.append("note: the file was written afresh; its comments are gone")
     rewritten = edited.ok.rewritten
@@ -50,21 +56,21 @@
     return DONE
 
 
-def _show_missing(session: Session, message: str) -> int:
+def _show_failure(session: Session, message: str) -> int:
     refused = refuse(Code.NOT_FOUND, message).map_error(RolloutError)
     return show_error(session.output, refused.error)
 
 
 def check_entry(session: Session, file: str, kind: str, name: str) -> int:
-    """Return 0 when the file has the entry; else say so and return an exit code."""
-    found = read_bundle(file)
-    if found.is_error():
-        return show_error(session.output, found.error)
-    names = _list_names(found.ok, kind)
+    """Return 0 if the file has the entry; else print an error, return its exit code."""
+    parsed = read_bundle(file)
+    if parsed.is_error():
+        return show_error(session.output, parsed.error)
+    names = _list_names(parsed.ok, kind)
     if name in names:
         return DONE
     message = f"{file} has no {kind} {name!r}; it has: {', '.join(names) or 'none'}"
-    return _show_missing(session, message)
+    return _show_failure(session, message)
 
 
 def _list_names(bundle: Bundle, kind: str) -> list[str]:
@@ -90,16 +96,16 @@
 @with_options()
 def list_workspaces(session: Session, file: str) -> int:
     """List the workspaces of FILE."""
-    found = read_bundle(file)
-    if found.is_error():
-        return show_error(session.output, found.error)
-    entries = found.ok["workspaces"]
-    lines = [_show_workspace(entry) for entry in entries]
+    parsed = read_bundle(file)
+    if parsed.is_error():
+        return show_error(session.output, parsed.error)
+    entries = parsed.ok["workspaces"]
+    lines = [_format_workspace(entry) for entry in entries]
     show(session.output, {"workspaces": entries}, lines or ["no workspaces"])
     return DONE
 
 
-def _show_workspace(entry: WorkspaceEntry) -> str:
+def _format_workspace(entry: WorkspaceEntry) -> str:
     groups = ", ".join(entry["groups"]) or "none"
     keys = ", ".join(key["id"] for key in entry["keys"]) or "none"
     return (
@@ -117,9 +123,11 @@
 )
 @FILE
 @click.argument("name")
-@click.option("--rate", type=float, required=True, help="Requests a second.")
-@click.option("--burst", type=float, required=True, help="Requests at once.")
-@click.option("--group", "groups", multiple=True, help="A group; give several so.")
+@click.option("--rate", type=float, required=True, help="Requests per second.")
+@click.option("--burst", type=float, required=True, help="Size of a burst in requests.")
+@click.option(
+    "--group", "groups", multiple=True, help="A group that it may use; repeatable."
+)
 @with_options()
 def add_workspace(
     session: Session,
@@ -137,8 +145,10 @@
         "groups": list(groups),
         "keys": [],
     }
-    done = f"workspace {name} is added; it has no key yet"
-    return edit_file(session, file, edits.add_workspace(entry), done, workspace=name)
+    success_message = f"workspace {name} is added; it has no key yet"
+    return edit_file(
+        session, file, edits.add_workspace(entry), success_message, workspace=name
+    )
 
 
 @workspace.command(
@@ -150,15 +160,17 @@
 @FILE
 @click.argument("name")
 @click.argument("rate", type=float)
-@click.option("--burst", type=float, help="Requests at once; unchanged by default.")
+@click.option(
+    "--burst", type=float, help="Size of a burst in requests; unchanged by default."
+)
 @with_options()
 def set_rate(
     session: Session, file: str, name: str, rate: float, burst: float | None
 ) -> int:
     """Set the RATE of the workspace NAME in FILE."""
-    missing = check_entry(session, file, "workspace", name)
-    if missing:
-        return missing
+    exit_code = check_entry(session, file, "workspace", name)
+    if exit_code:
+        return exit_code
     edit = edits.set_rate(name, rate, burst)
     return edit_file(session, file, edit, f"workspace {name} is set", workspace=name)
 
@@ -171,12 +183,12 @@
 @with_options()
 def remove_workspace(session: Session, file: str, name: str) -> int:
     """Remove the workspace NAME with its keys from FILE."""
-    missing = check_entry(session, file, "workspace", name)
-    if missing:
-        return missing
+    exit_code = check_entry(session, file, "workspace", name)
+    if exit_code:
+        return exit_code
     edit = edits.remove_workspace(name)
-    done = f"workspace {name} is removed with its keys"
-    return edit_file(session, file, edit, done, workspace=name)
+    success_message = f"workspace {name} is removed with its keys"
+    return edit_file(session, file, edit, success_message, workspace=name)
 
 
 # Endpoints
@@ -194,19 +206,19 @@
 @with_options()
 def list_endpoints(session: Session, file: str) -> int:
     """List the endpoints of FILE by group."""
-    found = read_bundle(file)
-    if found.is_error():
-        return show_error(session.output, found.error)
+    parsed = read_bundle(file)
+    if parsed.is_error():
+        return show_error(session.output, parsed.error)
     lines = [
-        _show_endpoint(group["name"], entry)
-        for group in found.ok["groups"]
+        _format_endpoint(group["name"], entry)
+        for group in parsed.ok["groups"]
         for entry in group["endpoints"]
     ]
-    show(session.output, {"groups": found.ok["groups"]}, lines or ["no endpoints"])
+    show(session.output, {"groups": parsed.ok["groups"]}, lines or ["no endpoints"])
     return DONE
 
 
-def _show_endpoint(group: str, entry: EndpointEntry) -> str:
+def _format_endpoint(group: str, entry: EndpointEntry) -> str:
     leaving = ", leaving" if entry.get("leaving") else ""
     return (
         f"{group}/{entry['name']}: {entry['address']}, domain "
@@ -225,22 +237,24 @@
 @FILE
 @click.argument("group")
 @click.argument("name")
-@click.option("--address", required=True, help="IPv4 number and port.")
-@click.option("--failure-domain", required=True, help="Where it runs.")
-@click.option("--slots", type=int, required=True, help="Statements at a time.")
-@click.option("--connections", type=int, required=True, help="Connections it takes.")
+@click.option("--address", required=True, help="IPv4 address and port.")
+@click.option("--failure-domain", required=True, help="The failure domain it runs in.")
+@click.option("--slots", type=int, required=True, help="Statements that run at a time.")
+@click.option(
+    "--connections", type=int, required=True, help="Connections that it accepts."
+)
 @with_options()
 def add_endpoint(
     session: Session, file: str, group: str, name: str, **fields: Any
 ) -> int:
     """Add the endpoint NAME to a GROUP of FILE."""
-    missing = check_entry(session, file, "group", group)
-    if missing:
-        return missing
+    exit_code = check_entry(session, file, "group", group)
+    if exit_code:
+        return exit_code
     entry: EndpointEntry = {"name": name, **fields}
     edit = edits.add_endpoint(group, entry)
-    done = f"endpoint {name} is added to group {group}"
-    return edit_file(session, file, edit, done, endpoint=name)
+    success_message = f"endpoint {name} is added to group {group}"
+    return edit_file(session, file, edit, success_message, endpoint=name)
 
 
 @endpoint.command(
@@ -251,12 +265,12 @@
 @with_options()
 def drain_endpoint(session: Session, file: str, name: str) -> int:
     """Mark the endpoint NAME of FILE as leaving, so that it gets no new work."""
-    missing = check_entry(session, file, "endpoint", name)
-    if missing:
-        return missing
+    exit_code = check_entry(session, file, "endpoint", name)
+    if exit_code:
+        return exit_code
     edit = edits.drain_endpoint(name)
-    done = f"endpoint {name} is marked as leaving"
-    return edit_file(session, file, edit, done, endpoint=name)
+    success_message = f"endpoint {name} is marked as leaving"
+    return edit_file(session, file, edit, success_message, endpoint=name)
 
 
 @endpoint.command(
@@ -267,8 +281,8 @@
 @with_options()
 def remove_endpoint(session: Session, file: str, name: str) -> int:
     """Remove the endpoint NAME from FILE; drain it first."""
-    missing = check_entry(session, file, "endpoint", name)
-    if missing:
-        return missing
+    exit_code = check_entry(session, file, "endpoint", name)
+    if exit_code:
+        return exit_code
     edit = edits.remove_endpoint(name)
     return edit_file(session, file, edit, f"endpoint {name} is removed", endpoint=name)
--- a/bronzerelay/keycommands.py
+++ b/bronzerelay/keycommands.py
@@ -1,4 +1,4 @@
-"""The commands for keys: operators' own ones and those of callers."""
+"""The commands for keys: operators' signing keys and callers' API keys."""
 
 import os
 
@@ -36,7 +36,9 @@
         "bronzerelay key make --operator ana --file ~/.bronzerelay-ana.key",
     )
 )
-@click.option("--file", help="Where the private key goes; OPERATOR.key by default.")
+@click.option(
+    "--file", help="The file to write the private key to; OPERATOR.key by default."
+)
 @with_options(OPERATOR)
 def make(session: Session, file: str | None) -> int:
     """Make an operator's key pair for signing bundles."""
@@ -65,8 +67,8 @@
 def _write_private(path: str, private: str) -> None:
     """Write a new file that only its owner may read.
 
-    An existing one is left alone: to replace an operator's key by mistake would lock
-    him out.
+    An existing file is an error: replacing an operator's only key by mistake would
+    lock the operator out.
     """
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     descriptor = os.open(path, flags, PRIVATE_MODE)
@@ -81,10 +83,10 @@
 @click.argument("key_id", metavar="ID")
 @with_options()
 def grant(session: Session, file: str, workspace: str, key_id: str) -> int:
-    """Add a key ID for WORKSPACE to FILE and print the key, this once."""
-    missing = check_entry(session, file, "workspace", workspace)
-    if missing:
-        return missing
+    """Add a key ID for WORKSPACE to FILE and print the key, which isn't stored."""
+    exit_code = check_entry(session, file, "workspace", workspace)
+    if exit_code:
+        return exit_code
     secret = make_key()
     edit = edits.add_key(workspace, {"id": key_id, "hash": hash_key(secret)})
     return edit_file(
@@ -109,9 +111,9 @@
 @click.argument("key_id", metavar="ID")
 @with_options(*SIGNING_OPTIONS, *FLEET_OPTIONS, WAIT)
 def withdraw(session: Session, workspace: str, key_id: str) -> int:
-    """Withdraw the key ID of WORKSPACE now, and wait until it has stopped.
+    """Withdraw the key ID of WORKSPACE and wait until every daemon rejects it.
 
-    It makes a new version of what is in force; one operator's signature is enough.
+    This puts a new version in force, for which one operator's signature is enough.
     """
     fleet = session.open_fleet()
     result = session.open_rollout().withdraw(workspace, key_id)
