--- a/tests/builders_config.py
+++ b/tests/builders_config.py
@@ -79,7 +79,7 @@
 def make_record(
     bundle: Bundle, author: str = "ana", signatures: list[SignatureEntry] | None = None
 ) -> ConfigRecord:
-    """Return the record of a bundle, with its true digest."""
+    """Return the record of a bundle, with its correct digest."""
     return {
         "version": bundle["version"],
         "digest": digest_bundle(bundle),
@@ -90,7 +90,7 @@
 
 
 def write_toml(table: dict[str, Any]) -> str:
-    """Return the table as TOML, a line for each of its fields."""
+    """Return the table as TOML, one line per field, with nested tables inline."""
     lines = [f"{json.dumps(name)} = {_write(value)}" for name, value in table.items()]
     return "\n".join(lines) + "\n"
 
--- a/tests/builders_operators.py
+++ b/tests/builders_operators.py
@@ -14,13 +14,13 @@
 
 
 class Operators(NamedTuple):
-    """Three operators with their key pairs, and the platform they share."""
+    """Operators with their key pairs, and the platform they share."""
 
     platform: Platform
     keys: dict[str, OperatorKey]
 
     def make_rollout(self, name: str, timeout_ms: int = PATIENT_MS) -> Rollout:
-        """Return the commands of one operator; a stranger has a key of his own."""
+        """Return one operator's Rollout; for an unknown name, with a new key."""
         key = self.keys.get(name) or make_operator_key()
         client = self.platform.make_client(caller=name, timeout_ms=timeout_ms)
         return Rollout(client, Operator(name, key.private))
@@ -42,7 +42,7 @@
         self.platform.server.store.races[action, key] = function
 
     def lose_answer(self) -> None:
-        """Let the platform lose the answer to the next call."""
+        """Make the platform lose its answer to the next call."""
         self.platform.server.set_fault(LOSE_ANSWERS, count=1)
 
     def propose_rate(self, rate: float, *names: str, version: int = 2) -> str:
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -53,7 +53,7 @@
 
 
 def list_paths(mistakes):
-    """Return the paths of the mistakes, without the names of items."""
+    """Return the paths of the mistakes, with list items by index only."""
     return [re.sub(r":[^]]*", "", mistake.path) for mistake in mistakes]
 
 
@@ -96,8 +96,8 @@
     ],
 )
 def test_a_mistake_is_reported_at_its_path(path, value):
-    """An operator writes one wrong value. In force, it would stop daemons or let a
-    caller in; the check names the place and says what is allowed there.
+    """A bundle has one wrong value, which could stop daemons or admit a caller once in
+    force. The check reports its path and what is allowed there.
     """
     mistakes = check_bundle(change(path, value))
     assert len(mistakes) == 1
@@ -105,8 +105,10 @@
     assert list_paths(mistakes)[0].startswith(path)
 
 
-def test_all_mistakes_come_at_once():
-    """An operator who is told of one mistake at a time runs the check ten times."""
+def test_all_mistakes_are_reported_at_once():
+    """If only the first mistake were reported, an operator would have to run the check
+    once per mistake.
+    """
     bundle = change(f"{NORTH}.rate", 0)
     bundle["groups"][0]["endpoints"][1]["slots"] = 99
     bundle["workspaces"][1]["keys"] = bundle["workspaces"][0]["keys"]
@@ -123,18 +125,18 @@
     ]
 
 
-def test_a_group_keeps_an_endpoint():
-    """Each endpoint of a group is marked as leaving, one after the other. The last one
-    would leave callers without anything to serve them.
+def test_a_group_needs_an_endpoint_that_is_not_leaving():
+    """All endpoints of a group are marked as leaving one by one, until none is left to
+    serve callers.
     """
     endpoints = [make_endpoint("orders-1", 5001, leaving=True)]
     bundle = make_bundle(groups=[{"name": "orders", "endpoints": endpoints}])
     assert [m.message for m in check_bundle(bundle)] == ["are all leaving"]
 
 
-def test_a_bundle_larger_than_a_value_of_the_platform_is_a_mistake():
-    """A bundle outgrows the 1 MiB of the platform. The check says so, not the rollout
-    after two operators have signed.
+def test_a_bundle_over_the_platforms_size_limit_is_a_mistake():
+    """A bundle exceeds the platform's limit of 1 MiB per value. The check must report
+    that, rather than the rollout after two operators have signed.
     """
     keys = [make_key_entry(f"key {number}") for number in range(10_000)]
     bundle = make_bundle(workspaces=[make_workspace("north", keys=keys)])
@@ -145,7 +147,7 @@
     "text",
     ["format = ", "a = 1\na = 2", "x = " + "[" * 5000, f"version = {'9' * 5000}", "\0"],
 )
-def test_text_that_is_no_toml_is_a_mistake(text):
+def test_invalid_toml_is_a_mistake(text):
     assert parse_bundle(text).is_error()
 
 
@@ -192,7 +194,7 @@
     assert check_record({**make_record(make_bundle()), "bundle": bundle}).is_error()
 
 
-def test_a_bundle_survives_toml_json_and_back():
+def test_toml_and_json_preserve_a_bundle():
     bundle = make_bundle(
         operators=make_operators(ana=PUBLIC_KEY, bo=PUBLIC_KEY[:-1] + "1")
     )
@@ -201,9 +203,9 @@
     assert digest_bundle(json.loads(json.dumps(parsed))) == digest_bundle(bundle)
 
 
-def test_the_digest_sees_values_and_not_how_they_are_written():
-    """An operator reorders fields, and another writes 5 for 5.0: the signatures hold.
-    Any change of a value breaks them.
+def test_the_digest_depends_on_values_only():
+    """Reordered fields or 5 instead of 5.0 must not invalidate signatures. A changed
+    value must.
     """
     bundle = make_bundle()
     turned = dict(reversed(bundle.items()))
@@ -224,16 +226,16 @@
         {"author": 3},
     ],
 )
-def test_a_record_that_is_not_whole_is_refused(changes):
-    """A record is written by hand or by an older tool. Taken unread, it would stop a
-    daemon half-way through putting it in force.
+def test_an_invalid_record_is_refused(changes):
+    """A record was written by hand or by an older tool. Accepted unchecked, it would
+    make a daemon fail half-way through putting it in force.
     """
     record = {**make_record(make_bundle()), **changes}
     assert check_record(record).error.code is Code.BUNDLE_INVALID
     assert check_record(None).error.code is Code.BUNDLE_INVALID
 
 
-def test_a_diff_names_what_changed():
+def test_a_diff_lists_changed_values():
     old = make_bundle()
     new = make_bundle(2, workspaces=[make_workspace("north", rate=50.0)])
     changes = diff_bundles(old, new)
@@ -251,9 +253,9 @@
     ("names", "allowed"),
     [("abc", True), ("abcd", True), ("ab", True), ("abd", False), ("a", False)],
 )
-def test_a_step_keeps_an_endpoint_of_each_majority(names, allowed):
-    """An operator swaps one of three endpoints in one step. The new majority may be
-    the empty one and one that lags, and acknowledged orders would be gone.
+def test_old_and_new_majorities_must_overlap(names, allowed):
+    """An operator replaces one of three endpoints in one version. A majority of the new
+    endpoints may be the empty one and one that lags, which loses acknowledged writes.
     """
 
     def make(version, names):
@@ -268,7 +270,7 @@
     assert check_transition(None, old) == []
 
 
-def test_compiling_fills_in_what_was_left_out():
+def test_compiling_fills_in_defaults():
     groups = [make_group("orders", 5001, max_age_ms=500), make_group("returns", 5101)]
     groups[0]["endpoints"][2]["leaving"] = True
     record = check_record(make_record(make_bundle(groups=groups))).ok
@@ -286,7 +288,7 @@
     assert (north.rate, north.burst, north.groups) == (100.0, 20.0, {"orders"})
 
 
-def test_the_example_of_the_docs_is_a_bundle():
+def test_the_example_in_the_docs_is_valid():
     page = pathlib.Path(__file__).parent.parent / "docs" / "CONFIGURATION.md"
     text = page.read_text().partition("```toml\n")[2].partition("```")[0]
     assert parse_bundle(text).ok["version"] == 7
--- a/tests/test_bundlefile.py
+++ b/tests/test_bundlefile.py
@@ -1,4 +1,4 @@
-"""Tests of writing and editing the bundle file, failures first."""
+"""Tests of writing and editing the bundle file; failures come first."""
 
 import pytest
 from hypothesis import given, settings
@@ -36,9 +36,9 @@
 )
 
 
-def test_a_file_with_inline_tables_is_edited_all_the_same():
-    """Somebody wrote the lists on one line each. Lines put in by their looks would
-    change something else, so the file is written afresh and the operator is told.
+def test_a_file_with_inline_tables_is_written_anew():
+    """The file has its lists as inline tables, one line each. Editing its lines would
+    change something else, so the file is written anew and the result says so.
     """
     text = write_toml(make_bundle())
     for edit in EDITS:
@@ -48,9 +48,9 @@
         assert edited.rewritten
 
 
-def test_a_text_over_several_lines_does_not_mislead_an_edit():
-    """An entry's text goes on over several lines. An edit of the lines must change the
-    true entry, or write the file afresh.
+def test_an_edit_handles_a_string_over_several_lines():
+    """A string value spans several lines. An edit of the lines must change the right
+    entry, or the file must be written anew.
     """
     text = write_bundle(make_bundle()).replace(
         'failure_domain = "a"', 'failure_domain = """\\\n   a"""'
@@ -60,8 +60,8 @@
 
 
 def test_a_write_that_fails_leaves_the_old_file(tmp_path, monkeypatch):
-    """The disk is full while a bundle is written. Half of it could still be read, with
-    some workspaces missing.
+    """The disk is full while a bundle is written. A partly written bundle could still
+    be valid TOML, with some workspaces missing.
     """
     path = tmp_path / "bundle.toml"
     path.write_text("old")
@@ -98,7 +98,7 @@
     assert parse_bundle(text).ok == wanted
 
 
-def test_a_written_bundle_reads_as_the_same_one():
+def test_a_written_bundle_parses_to_the_same_bundle():
     bundles = [
         make_bundle(groups=[], workspaces=[]),
         make_bundle(workspaces=[make_workspace("north", keys=[])]),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line, failures first."""
+"""Tests of the operators' command line; failures come first."""
 
 import json
 import os
@@ -41,7 +41,7 @@
         self.daemons = [SmallDaemon(platform, name, NAMES) for name in NAMES]
         self.variables = {
             "BRONZERELAY_PLATFORM": str(platform.server.address),
-            "BRONZERELAY_DAEMONS": ",".join(one.address for one in self.daemons),
+            "BRONZERELAY_DAEMONS": ",".join(daemon.address for daemon in self.daemons),
             "BRONZERELAY_WAIT_MS": LONG_MS,
         }
         for name, key in self.team.keys.items():
@@ -67,7 +67,7 @@
         return result.exit_code, json.loads(result.stdout)
 
     def roll_out(self, bundle):
-        """Put a bundle in force as two operators do it."""
+        """Put a bundle in force: one operator proposes it and another one signs it."""
         _, proposal = self.run_json("bundle", "propose", self.write(bundle))
         digest = proposal["digest"]
         assert self.run("bundle", "sign", digest, operator="beto").exit_code == DONE
@@ -93,9 +93,9 @@
 # Keys
 
 
-def test_a_withdrawn_key_is_said_to_have_stopped_only_where_it_has(tool):
-    """A key has leaked and one daemon is cut off from the platform. Told "done", the
-    operator would go home while the thief is still served there.
+def test_withdraw_reports_success_only_if_every_daemon_has_the_version(tool):
+    """A key has leaked and one daemon is cut off from the platform. If the command
+    reported success, nobody would notice that this daemon may still accept the key.
     """
     tool.roll_out(tool.team.make_bundle())
     tool.daemons[1].cut_off = True
@@ -116,9 +116,9 @@
         assert daemon.store.check_key("south", "south-key").is_ok()
 
 
-def test_a_daemon_that_the_list_lacks_keeps_withdraw_from_saying_done(tool):
-    """A VM was added and the operator's list of daemons wasn't. The key may still work
-    there, so "stopped everywhere" would be a guess.
+def test_withdraw_reports_a_live_daemon_missing_from_the_list(tool):
+    """A VM was added but is missing from the operator's list of daemons. The key may
+    still work there, so the command must not report that it has stopped everywhere.
     """
     tool.roll_out(tool.team.make_bundle())
     command = ("key", "withdraw", "north", NORTH_KEY)
@@ -127,7 +127,7 @@
     assert (code, answer["unasked"]) == (NOT_EVERYWHERE, ["vm-2"])
 
 
-def test_a_granted_key_works_and_is_kept_as_a_hash_only(tool):
+def test_a_granted_key_works_and_only_its_hash_is_stored(tool):
     path = tool.write(tool.team.make_bundle())
     code, answer = tool.run_json("key", "grant", path, "north", "till-7")
     assert code == DONE
@@ -139,8 +139,8 @@
 
 
 def test_a_grant_that_cannot_be_stored_prints_no_key(tool):
-    """The id is taken already. A key printed all the same would be handed to a till
-    that is then refused with it.
+    """The id is already in use. If the key were printed nevertheless, it would be given
+    to a caller and then rejected.
     """
     path = tool.write(tool.team.make_bundle())
     before = (tool.folder / "bundle.toml").read_text()
@@ -150,8 +150,8 @@
     assert (tool.folder / "bundle.toml").read_text() == before
 
 
-def test_an_operators_private_key_is_for_its_owner_and_never_replaced(tool):
-    """A second `key make` into the same file would lock its operator out."""
+def test_a_private_key_file_is_owner_only_and_never_overwritten(tool):
+    """If a second `key make` overwrote the file, the operator would be locked out."""
     path = str(tool.folder / "dora.key")
     code, answer = tool.run_json("key", "make", "--file", path, operator="dora")
     assert (code, answer["operator"]) == (DONE, "dora")
@@ -164,9 +164,9 @@
 # Bundles
 
 
-def test_the_loser_of_a_race_reads_who_won_and_what_differs(tool):
-    """Beto's version 2 comes into force while Ana still reviews hers. She has to see
-    whose it is and what she would undo.
+def test_the_loser_of_a_race_sees_the_winner_and_the_differences(tool):
+    """Another operator's version 2 comes into force before this one's. The error must
+    name that version's author and the changes that this bundle would revert.
     """
     tool.roll_out(tool.team.make_bundle())
     north = make_workspace("north", rate=50.0)
@@ -179,9 +179,9 @@
     assert "workspaces[north].rate: 100.0 -> 50.0" in result.stderr
 
 
-def test_a_bundle_without_a_second_signature_tells_the_next_step(tool):
-    """An operator rolls out alone what nobody has reviewed. He is told which command
-    another one has to run, and nothing is in force.
+def test_the_error_for_a_missing_signature_names_the_next_command(tool):
+    """An operator rolls out a bundle that nobody has reviewed. The error names the
+    command that another operator has to run, and nothing is in force.
     """
     path = tool.write(tool.team.make_bundle())
     result = tool.run("bundle", "rollout", path)
@@ -190,17 +190,17 @@
     assert tool.run("bundle", "show").exit_code == FAILED
 
 
-def test_an_unavailable_platform_has_an_exit_code_of_its_own(tool):
-    """The platform is out. A script must tell that from a refusal, to try again."""
+def test_an_unavailable_platform_has_its_own_exit_code(tool):
+    """The platform is down. Scripts must distinguish that from a refusal, to retry."""
     path = tool.write(tool.team.make_bundle())
     tool.team.platform.server.set_fault(REFUSE)
     code, answer = tool.run_json("bundle", "propose", path)
     assert (code, answer["ran"]) == (PLATFORM_UNAVAILABLE, "not_run")
 
 
-def test_a_rollout_that_a_daemon_lacks_ends_with_its_own_code(tool):
-    """One daemon doesn't answer at all. The bundle is in force, but the operator must
-    look after that VM.
+def test_a_rollout_that_is_not_everywhere_has_its_own_exit_code(tool):
+    """One daemon doesn't answer at all. The bundle is in force, but the operator has to
+    check that VM.
     """
     gone = str(find_free_address(tool.team.platform.runtime))
     bundle = make_bundle()
@@ -212,7 +212,7 @@
         BRONZERELAY_WAIT_MS=SHORT_MS,
     )
     assert (code, answer["in_force_everywhere"]) == (NOT_EVERYWHERE, False)
-    states = {one["address"]: one["in_force"] for one in answer["daemons"]}
+    states = {daemon["address"]: daemon["in_force"] for daemon in answer["daemons"]}
     assert states == {tool.daemons[0].address: True, gone: False}
 
 
@@ -226,7 +226,7 @@
     assert tool.run("bundle", "check", str(tool.folder)).exit_code == FAILED
 
 
-def test_a_bundle_goes_from_file_to_history_and_back(tool):
+def test_rollout_history_and_rollback(tool):
     shown = tool.roll_out(tool.team.make_bundle())
     assert "version 1 is in force on 2 of 2 daemons" in shown.stdout
     north = make_workspace("north", rate=50.0)
@@ -253,7 +253,7 @@
 # The file
 
 
-def test_edits_keep_comments_and_leave_what_is_wrong_alone(tool):
+def test_edits_preserve_comments_and_invalid_edits_change_nothing(tool):
     path = tool.write(make_bundle())
     file = tool.folder / "bundle.toml"
     text = file.read_text().replace("rate = 100.0", "rate = 100.0  # in May", 1)
@@ -282,10 +282,10 @@
     assert "leaving" in listed
 
 
-# Looking
+# Status, counters, help
 
 
-def test_status_and_counters_sum_what_the_daemons_say(tool):
+def test_status_and_counters_of_all_daemons(tool):
     for daemon, count in zip(tool.daemons, (1, 2), strict=True):
         for _ in range(count):
             daemon.metrics.count_refusal(Code.RATE_EXCEEDED, "north")
@@ -303,9 +303,9 @@
         assert gone in result.stdout
 
 
-def test_a_daemon_with_tls_is_believed_only_with_a_trusted_certificate(tool):
-    """Somebody listens in a daemon's place and would tell an operator that a leaked
-    key has stopped.
+def test_a_daemon_with_tls_needs_a_trusted_certificate(tool):
+    """An attacker who impersonates a daemon could claim that a leaked key has stopped
+    working.
     """
     platform = tool.team.platform
     certificate, key = write_certificate(tool.folder, "vm-3")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of following a version over the daemons, failures first."""
+"""Tests of waiting until a version is in force on all daemons; failures come first."""
 
 import io
 
@@ -35,8 +35,8 @@
 
 
 def test_another_bundle_under_the_same_version_is_not_in_force(platform):
-    """Somebody wrote to the platform by hand, and a daemon holds another bundle under
-    the version that was rolled out. Its number alone would hide that.
+    """Somebody wrote to the platform by hand, and a daemon holds another bundle with
+    the version that was rolled out. Comparing versions alone would hide that.
     """
     daemon = SmallDaemon(platform, "vm-1", ("vm-1",))
     record = make_record(make_bundle())
@@ -48,9 +48,9 @@
     assert "another bundle" in arrival.pending[0].problem
 
 
-def test_a_page_that_is_no_status_counts_as_no_answer(platform):
-    """The address is that of another service, the platform's. Its answers mustn't be
-    taken for those of a daemon, nor end the command with a traceback.
+def test_an_answer_that_is_not_a_status_counts_as_none(platform):
+    """The address belongs to another service, here the platform. Its answers must be
+    neither mistaken for a daemon's nor end the command with a traceback.
     """
     fleet = Fleet(platform.runtime, [platform.server.address])
     (state,) = fleet.read_states()
@@ -70,7 +70,7 @@
         assert text in page.getvalue()
 
 
-def test_live_daemons_that_nobody_asked_are_found():
+def test_live_daemons_missing_from_the_list_are_found():
     one = DaemonState(HERE, make_status("vm-1", **{"vm-2": True, "vm-3": False}))
     two = DaemonState(HERE, make_status("vm-2"))
     assert find_unasked([one]) == ("vm-2",)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -4,14 +4,14 @@
 
 
 def test_any_text_has_a_hash():
-    """A caller sends bytes that are no valid text in place of a key. Its request must
-    be refused like any wrong key, and must not end in a traceback.
+    """A caller sends bytes that aren't valid Unicode as its key. The request must be
+    refused like one with any wrong key, without a traceback.
     """
     assert hash_key("\ud800").startswith("sha256:")
     assert hash_key("\udc80") != hash_key("\udc81")
 
 
-def test_the_hash_is_that_of_sha256():
+def test_the_hash_is_sha256():
     digest = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"
     assert hash_key("abc") == f"sha256:{digest}"
 
--- a/tests/test_promise_configuration.py
+++ b/tests/test_promise_configuration.py
@@ -1,4 +1,4 @@
-"""The promises about configuration, keys and leaving endpoints, on real processes."""
+"""Tests of configuration, keys and leaving endpoints, on real processes."""
 
 import base64
 
@@ -32,10 +32,12 @@
 
 
 def make_cluster(runtime):
-    """Return a cluster one of whose daemons knows the others by its settings."""
+    """Return a cluster in which the daemon SEEDED has the others as --seeds."""
     flags = ["--isolation-ms", str(ISOLATION_MS)]
     cluster = Cluster(runtime, LAYOUT, daemon_flags=flags, keep_logs=False)
-    seeds = ",".join(str(cluster.addresses[f"vm-{one}/peer"]) for one in (1, 2, 3))
+    seeds = ",".join(
+        str(cluster.addresses[f"vm-{number}/peer"]) for number in (1, 2, 3)
+    )
     cluster._daemon_flags = [*flags, "--seeds", seeds]
     cluster._add(SEEDED, "bronzerelay.daemon", cluster._list_flags(3, SEEDED))
     cluster._daemon_flags = flags
@@ -79,11 +81,11 @@
 
 
 def replace_key(cluster, workspace="shop"):
-    """Put a version in force in which the workspace's key is another one."""
+    """Put a version in force in which the workspace has a different key."""
     bundle = cluster.build_bundle()
-    for one in bundle["workspaces"]:
-        if one["name"] == workspace:
-            one["keys"] = [{"id": "second", "hash": hash_key(make_key())}]
+    for entry in bundle["workspaces"]:
+        if entry["name"] == workspace:
+            entry["keys"] = [{"id": "second", "hash": hash_key(make_key())}]
     return cluster.put_bundle(bundle)
 
 
@@ -99,8 +101,8 @@
 
 
 def test_a_withdrawn_key_stops_on_open_connections_of_every_daemon(cluster):
-    """A caterer's key is withdrawn while its callers are connected to all daemons.
-    Checked only when a connection opens, it would work for as long as they stay.
+    """A workspace's key is withdrawn while its callers are connected to all daemons. If
+    keys were checked only when a connection opens, it would go on working there.
     """
     links = open_links(cluster)
     caller = open_caller(cluster, links)
@@ -123,9 +125,10 @@
 
 
 def test_versions_are_in_force_everywhere_and_never_go_back(cluster):
-    """Versions follow each other while the platform is slow for one daemon, loses the
-    answers of another, and goes down. A daemon restarted meanwhile knows nothing but
-    what its peers tell it. Nobody may show an older version than before.
+    """Several versions are put in force while the platform is slow for one daemon and
+    loses its answers to another one; then it goes down. A daemon restarted meanwhile
+    gets its configuration from its peers alone. No daemon may go back to an older
+    version.
     """
     cluster.set_platform_fault("slow", delay_ms=700, callers=["vm-1"])
     cluster.set_platform_fault("lose_answers", callers=["vm-2"])
@@ -150,8 +153,10 @@
     assert set(list_versions(cluster).values()) == {version}
 
 
-def test_a_version_comes_though_the_platform_turns_all_watchers_away(cluster):
-    """Guards against leaving the platform to daemons that get no answer from it."""
+def test_a_version_arrives_although_the_platform_refuses_all_watchers(cluster):
+    """Only some daemons watch the platform. If it refuses just these, others must take
+    over, or new versions would never arrive.
+    """
     watchers = rank("platform", cluster.daemon_names)[:WATCHERS]
     cluster.set_platform_fault("down", callers=watchers)
     cluster.runtime.clock.sleep_ms(2 * WATCH_MS)
@@ -163,9 +168,9 @@
     )
 
 
-def test_a_daemon_that_was_frozen_admits_nothing_on_old_news(cluster):
-    """A daemon is frozen, a key is withdrawn, and it is thawed with a request for that
-    key in its socket. What it knows is older than it can tell from its own timers.
+def test_a_thawed_daemon_admits_nothing_on_stale_configuration(cluster):
+    """A daemon is frozen, a key is withdrawn, and the daemon is thawed with a request
+    with that key in its socket. Its configuration is older than its own timers show.
     """
     links = open_links(cluster)
     caller = open_caller(cluster, links)
@@ -183,8 +188,8 @@
 
 
 def test_a_daemon_cut_from_platform_and_peers_stops_admitting(cluster):
-    """A daemon is alone on its side of a cut. It can't learn of a withdrawal, and would
-    honour withdrawn keys for as long as the cut lasts.
+    """A daemon is alone on its side of a network partition. It can't learn of a
+    withdrawal and would accept withdrawn keys for as long as the partition lasts.
     """
     links = open_links(cluster)
     caller = open_caller(cluster, links)
@@ -207,8 +212,8 @@
 
 
 def test_an_outage_of_the_platform_stops_no_request(cluster):
-    """The platform is down for long. Nothing new can be accepted meanwhile, and all
-    daemons serve on what is in force.
+    """The platform is down for a long time. No new version can be put in force, and all
+    daemons go on serving with the current one.
     """
     cluster.set_platform_fault("down")
     cluster.runtime.clock.sleep_ms(ISOLATION_MS + 500)
@@ -217,8 +222,8 @@
 
 
 def test_no_endpoint_and_no_log_sees_a_key(cluster):
-    """Callers present right and wrong keys, and one key is withdrawn meanwhile. A key
-    that reached an endpoint or a log could be used by whoever reads it there.
+    """Callers present valid and invalid keys, and one key is withdrawn meanwhile. A key
+    that reached an endpoint or a log could be used by anybody who reads it there.
     """
     links = open_links(cluster)
     wrong = make_key()
@@ -244,8 +249,8 @@
 
 
 def test_leaving_endpoints_get_no_new_work(cluster):
-    """The primary and a replica are marked as leaving under load. Work that they still
-    get after a few seconds is cut when their VMs go.
+    """The primary and a replica are marked as leaving under load. Statements that they
+    still get after a few seconds would be aborted when their VMs are removed.
     """
     leaving = cluster.endpoint_names[:2]
     load = start_load(cluster, 5000)
@@ -258,9 +263,9 @@
     record = load.wait()
     evidence = cluster.collect_evidence()
     late = [
-        one
-        for one in evidence.executions
-        if one.instance in leaving and one.time_ms > marked_ms + 3000
+        execution
+        for execution in evidence.executions
+        if execution.instance in leaving and execution.time_ms > marked_ms + 3000
     ]
     assert late == []
     assert {one.instance for one in evidence.executions} == set(cluster.endpoint_names)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""The platform's items, decoded into the pooler's types."""
+"""Tests of decoding the platform's items into the pooler's types."""
 
 import json
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Tests of putting bundles in force, failures first."""
+"""Tests of putting bundles in force; failures come first."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 
 class RacingStore(Store):
-    """A store in which something happens once, just before a key is read or put."""
+    """A store that calls a function once, just before a key is read or put."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -70,9 +70,9 @@
 # Races
 
 
-def test_of_two_racing_operators_the_loser_learns_who_won_and_what_differs(team):
-    """Ana and Beto roll out version 2 at the same moment with other rates. Without a
-    clear answer Ana believes that her rate is in force.
+def test_the_loser_of_a_race_learns_the_winner_and_the_differences(team):
+    """Two operators roll out version 2 at the same time with different rates. Without a
+    clear error, the loser would believe that their rate is in force.
     """
     ours = team.propose_rate(50.0)
     theirs = team.propose_rate(70.0, "beto", "carla")
@@ -89,8 +89,8 @@
 
 
 def test_a_bundle_written_against_an_older_version_is_refused(team):
-    """Beto's file was written while version 1 was in force; Ana has put version 2 in
-    force since. Rolled out, it would silently undo her change.
+    """A file was written while version 1 was in force, and another operator has put
+    version 2 in force since. Rolling the file out would silently revert that.
     """
     late = team.propose_rate(70.0, "beto", "ana")
     team.put_in_force(team.make_bundle(2))
@@ -102,9 +102,9 @@
     assert refusal_of(again) == (Code.COMPARE_FAILED, NOT_RUN)
 
 
-def test_two_operators_who_sign_at_once_both_count(blank):
-    """Beto and Carla sign the same proposal at the same moment. With a plain write the
-    later one would wipe out the other's signature.
+def test_concurrent_signatures_are_both_stored(blank):
+    """Two operators sign the same proposal at the same time. Without compare-and-swap
+    the later write would overwrite the other's signature.
     """
     digest = blank.make_rollout("ana").propose(blank.make_bundle()).ok["digest"]
     proposal = PROPOSAL_PREFIX + digest
@@ -114,9 +114,9 @@
     assert signers == ["ana", "carla", "beto"]
 
 
-def test_two_operators_who_withdraw_one_key_both_succeed(team):
-    """Ana and Beto withdraw a leaked key in the same moment, with equal bundles. An
-    error to one of them would make him search for a key that is gone.
+def test_concurrent_withdrawals_of_one_key_both_succeed(team):
+    """Two operators withdraw a leaked key at the same time, with equal bundles. An
+    error would make the loser search for a key that is already withdrawn.
     """
     beto = team.make_rollout("beto")
     team.race("put", CURRENT_KEY, lambda: beto.withdraw("north", NORTH_KEY))
@@ -126,9 +126,9 @@
     assert list_versions(team) == [2, 1]
 
 
-def test_a_withdrawal_that_loses_a_race_keeps_the_rivals_change(team):
-    """A rate changes in the moment in which Ana withdraws a key. Her command must do
-    it again on top of the new version, for the key has leaked.
+def test_a_withdrawal_that_loses_a_race_preserves_the_rivals_change(team):
+    """A rate changes while an operator withdraws a leaked key. The command must repeat
+    the withdrawal on top of the new version.
     """
     theirs = team.propose_rate(70.0, "beto", "carla")
     beto = team.make_rollout("beto")
@@ -141,9 +141,10 @@
 # Lost answers, outages and crashes
 
 
-def test_a_swap_whose_answer_is_lost_counts_as_done(blank):
-    """The platform takes the bundle and the connection breaks before its answer. Told
-    "failed", Ana would write the next bundle against the wrong version.
+def test_a_swap_with_a_lost_answer_is_recognized_as_done(blank):
+    """The platform stores the bundle and the connection breaks before its answer. If
+    the command reported a failure, the operator would write the next bundle against the
+    wrong version.
     """
     digest = blank.propose(blank.make_bundle())
     blank.race("get", PROPOSAL_PREFIX + digest, lambda: blank.lose_answer())
@@ -152,9 +153,10 @@
     assert list_versions(blank) == [1]
 
 
-def test_a_lost_swap_that_was_replaced_since_was_in_force_all_the_same(team):
-    """Ana's version 2 takes effect, its answer is lost, and Beto puts version 3 in
-    force before she reads back. Told "not run", she would think her keys never worked.
+def test_a_swap_with_a_lost_answer_that_was_replaced_since_counts_as_done(team):
+    """Version 2 is put in force, the answer is lost, and another operator puts version
+    3 in force before the command reads back. Reporting "not run" would be wrong, as
+    version 2 was in force for a while.
     """
     digest = team.propose_rate(50.0)
 
@@ -171,9 +173,9 @@
 @pytest.mark.parametrize(
     ("mode", "ran"), [(REFUSE, NOT_RUN), (DOWN, UNKNOWN), (LOSE_ANSWERS, UNKNOWN)]
 )
-def test_an_outage_during_the_swap_tells_what_is_known(blank, mode, ran):
-    """The platform goes down just as Ana's swap is sent. She has to learn whether her
-    bundle can still come into force.
+def test_an_outage_during_the_swap_reports_whether_it_may_have_run(blank, mode, ran):
+    """The platform goes down just as the swap is sent. The error must tell whether the
+    bundle may have come into force.
     """
     digest = blank.propose(blank.make_bundle())
     server = blank.platform.server
@@ -185,9 +187,10 @@
     assert again.ok.record["digest"] == digest
 
 
-def test_the_next_command_repairs_a_crash_between_the_two_writes(blank):
-    """Ana's command dies after the swap and before the history. Without a repair,
-    version 1 is gone for good once version 2 replaces it, and nobody can go back.
+def test_the_next_command_completes_the_history_after_a_crash(blank):
+    """A command dies after the swap and before it writes the history. Unless a later
+    command adds version 1, it is lost once version 2 replaces it, and no rollback to it
+    is possible.
     """
     digest = blank.propose(blank.make_bundle())
     record = blank.make_rollout("ana").records.read_proposal(digest).ok
@@ -199,9 +202,10 @@
     assert blank.make_rollout("ana").records.read_version(1).ok == record
 
 
-def test_no_swap_happens_while_the_history_has_a_gap(team):
-    """A crash left a gap and the platform refuses the write that would fill it. A swap
-    now would lose version 1, so the command must stop with nothing changed.
+def test_no_swap_happens_while_the_history_lacks_a_version(team):
+    """After a crash the history lacks version 1, and the platform is unavailable when
+    the next command wants to add it. A swap now would lose version 1, so the command
+    must fail without changing anything.
     """
     client = team.platform.make_client()
     history = f"{HISTORY_PREFIX}1"
@@ -214,9 +218,9 @@
     assert read_current(team).version == 1
 
 
-def test_a_bundle_that_swaps_too_many_endpoints_is_refused(team):
-    """A file names new addresses for all endpoints of a group. No majority of them
-    need hold the last orders, so these would be lost without an error.
+def test_a_bundle_that_replaces_too_many_endpoints_is_refused(team):
+    """A file has new addresses for all endpoints of a group. A majority of them need
+    not hold the last acknowledged writes, which would be lost without an error.
     """
     moved = make_group("orders", 6001)
     swapped = team.make_bundle(2, groups=[moved])
@@ -229,8 +233,8 @@
 
 
 def test_a_bundle_signed_by_its_author_alone_stays_a_proposal(blank):
-    """Ana tries to roll out what nobody has reviewed. One mistyped rate would be in
-    force for every caterer before a second person saw it.
+    """An operator tries to roll out a bundle that nobody has reviewed. A mistyped rate
+    would be in force for every workspace before a second person saw it.
     """
     ana = blank.make_rollout("ana")
     digest = ana.propose(blank.make_bundle()).ok["digest"]
@@ -239,9 +243,9 @@
     assert read_current(blank).record is None
 
 
-def test_a_stranger_and_a_false_key_are_told_before_anything_is_stored(team):
-    """Somebody who is no operator proposes a bundle that names him, and an operator
-    uses the key of another machine. Both would hear of it only at the rollout.
+def test_a_signature_that_would_not_count_is_refused_at_once(team):
+    """Somebody who is no operator proposes a bundle, and an operator signs with a key
+    that isn't the one in force. Otherwise both would fail only at the rollout.
     """
     stranger = team.make_rollout("mallory")
     assert refusal_of(stranger.propose(team.make_bundle(2)))[0] is (
@@ -253,9 +257,9 @@
     assert refusal_of(result) == (Code.SIGNATURE_MISSING, NOT_RUN)
 
 
-def test_a_lone_operator_cannot_pass_off_a_change_as_a_withdrawal(team):
-    """A withdrawal needs one signature only. A bundle that also raises a rate, or has
-    another key for the one it drops, must not get through that way.
+def test_a_withdrawal_may_not_contain_other_changes(team):
+    """A withdrawal needs only one signature. A bundle that also raises a rate, or that
+    replaces the key, must not be accepted as a withdrawal.
     """
     in_force = read_current(team).bundle
     north, south = in_force["workspaces"]
@@ -269,7 +273,7 @@
         assert result.error.code is Code.SIGNATURE_MISSING
 
 
-# What operators rely on
+# Commands without failures
 
 
 def test_without_operators_a_bundle_needs_no_signature(platform):
@@ -279,7 +283,7 @@
     assert rollout.put_in_force(digest).ok.notes == ("in force already, by ana",)
 
 
-def test_a_withdrawal_run_again_finds_itself_done_and_a_mistyped_one_is_told(team):
+def test_a_repeated_withdrawal_succeeds_and_a_mistyped_id_is_refused(team):
     ana = team.make_rollout("ana")
     assert ana.withdraw("north", NORTH_KEY).ok.record["version"] == 2
     assert ana.withdraw("north", NORTH_KEY).ok.record["version"] == 2
@@ -287,9 +291,9 @@
     assert read_current(team).version == 2
 
 
-def test_a_rollback_brings_back_rates_but_no_withdrawn_key(team):
-    """A leaked key is withdrawn, then a rate has to go back to what it was before. The
-    old version still lists the key; brought back, it would let the thief in again.
+def test_a_rollback_restores_rates_but_no_withdrawn_key(team):
+    """A leaked key is withdrawn, then a rate is rolled back. The old version still has
+    the key; a rollback that restored it would admit the thief again.
     """
     ana = team.make_rollout("ana")
     assert ana.withdraw("north", NORTH_KEY).is_ok()
@@ -306,8 +310,8 @@
 
 
 def test_a_file_that_still_lists_a_withdrawn_key_is_refused(team):
-    """Ana withdraws a leaked key. Beto raises the version in his file, which lists the
-    key still; rolled out, it would let the thief in again.
+    """A leaked key is withdrawn. Another operator raises the version in a file that
+    still lists the key; rolling it out would admit the thief again.
     """
     assert team.make_rollout("ana").withdraw("north", NORTH_KEY).is_ok()
     result = team.make_rollout("beto").propose(team.make_bundle(3))
@@ -315,7 +319,7 @@
     assert f"north/{NORTH_KEY}" in result.error.refusal.message
 
 
-def test_a_rollback_brings_back_a_workspace_with_its_keys(team):
+def test_a_rollback_restores_a_removed_workspace_with_its_keys(team):
     team.put_in_force(team.make_bundle(2, workspaces=[make_workspace("north")]))
     back = team.make_rollout("ana").rollback(1).ok
     assert back.omitted_keys == ()
