--- a/bronzerelay/bundle.py
+++ b/bronzerelay/bundle.py
@@ -151,7 +151,7 @@
     """Return every mistake of a decoded bundle; without mistakes it is a Bundle."""
     mistakes: list[Mistake] = []
     BUNDLE("", data, mistakes)
-    _check_unique_names(data, mistakes)
+    _check_unique_values(data, mistakes)
     _check_endpoints(data, mistakes)
     _check_workspaces(data, mistakes)
     if not mistakes:
@@ -194,7 +194,7 @@
         seen.setdefault(value, path)
 
 
-def _check_unique_names(data: Any, mistakes: list[Mistake]) -> None:
+def _check_unique_values(data: Any, mistakes: list[Mistake]) -> None:
     _check_unique(_list_tables("", data, "groups"), "name", mistakes)
     _check_unique(_list_endpoints(data), "name", mistakes)
     # An endpoint listed twice in a group would count twice towards its majority, and
@@ -230,7 +230,8 @@
 def _list_group_names(data: Any) -> set[str] | None:
     """Return the names of the groups; None if any of them is malformed.
 
-    Otherwise one mistake in a group would be reported again at each workspace.
+    None disables the check that workspaces name existing groups. Otherwise a mistake in
+    a group's name would be reported again at each workspace that uses the group.
     """
     groups = data.get("groups") if isinstance(data, dict) else None
     if not isinstance(groups, list):
@@ -321,7 +322,7 @@
 
 
 def check_transition(old: Bundle | None, new: Bundle) -> list[Mistake]:
-    """Return the mistakes of `new` as the bundle that follows `old`.
+    """Return the mistakes that keep `new` from being the version after `old`.
 
     A write is acknowledged once a majority of its group's endpoints holds it, and a
     promotion finds it because any two majorities share an endpoint. If too many
--- a/bronzerelay/fleet.py
+++ b/bronzerelay/fleet.py
@@ -16,8 +16,8 @@
 
 STATUS_PATH = "/status"
 METRICS_PATH = "/metrics"
-# Enough to query every daemon of a large fleet within a few seconds, and fewer than the
-# runtime's task limit.
+# Enough to query every daemon of a large fleet within a few seconds, and few enough to
+# leave some of the runtime's tasks free.
 MAX_CONCURRENT_REQUESTS = 32
 REQUEST_TIMEOUT_MS = 1000
 POLL_INTERVAL_MS = 100
@@ -179,7 +179,7 @@
 def check_digest(state: DaemonState, version: int, digest: str) -> DaemonState:
     """Return the state, without its status if the daemon has another bundle.
 
-    Two bundles with one version mean that somebody has written to the platform
+    Two bundles with the same version mean that somebody has written to the platform
     without compare-and-swap; counting the daemon as up to date would hide that.
     """
     if state.version != version or state.status["digest"] == digest:
--- a/bronzerelay/keycommands.py
+++ b/bronzerelay/keycommands.py
@@ -46,7 +46,7 @@
     path = file or f"{name}.key"
     pair = make_operator_key()
     try:
-        _write_private(path, pair.private)
+        _write_private_key(path, pair.private)
     except OSError as error:
         message = f"{path} can't be written: {error.strerror}"
         refused = refuse(Code.NOT_FOUND, message).map_error(RolloutError)
@@ -64,7 +64,7 @@
     return DONE
 
 
-def _write_private(path: str, private: str) -> None:
+def _write_private_key(path: str, private_key: str) -> None:
     """Write a new file that only its owner may read.
 
     An existing file is an error: replacing an operator's only key by mistake would
@@ -74,7 +74,7 @@
     descriptor = os.open(path, flags, PRIVATE_MODE)
     with os.fdopen(descriptor, "w", encoding="ascii") as file:
         os.fchmod(descriptor, PRIVATE_MODE)
-        file.write(private + "\n")
+        file.write(private_key + "\n")
 
 
 @key.command(epilog=write_examples("bronzerelay key grant bundle.toml north till-7"))
@@ -121,5 +121,7 @@
         return show_error(session.output, result.error)
     note = f"take key {key_id} out of your bundle file as well"
     in_force = result.ok._replace(notes=(*result.ok.notes, note))
-    done = f"key {key_id} of workspace {workspace} has stopped on every daemon"
-    return wait_and_report(session, fleet, in_force, done)
+    success_message = (
+        f"key {key_id} of workspace {workspace} has stopped on every daemon"
+    )
+    return wait_and_report(session, fleet, in_force, success_message)
--- a/bronzerelay/options.py
+++ b/bronzerelay/options.py
@@ -124,7 +124,7 @@
         return self.settings.output
 
     def open_rollout(self) -> Rollout:
-        """Return the rollout commands of the operator in the settings."""
+        """Return the Rollout of the operator in the settings."""
         name = self.settings.operator or "nobody"
         settings = KeyValueSettings(self.settings.platform, name, PLATFORM_TIMEOUT_MS)
         key_value = registry.find(registry.KEY_VALUE, "http")(self.runtime, settings)
--- a/bronzerelay/rollout.py
+++ b/bronzerelay/rollout.py
@@ -44,7 +44,7 @@
 
 
 class Operator(NamedTuple):
-    """The operator who runs a command; without a private key it can't sign."""
+    """The operator who runs a command. Without a private key, nothing can be signed."""
 
     name: str
     private_key: str = ""
@@ -93,9 +93,9 @@
         """
         if current.record is None:
             return Ok(None)
-        known = set().union(*list_hashes(current.record["bundle"]).values())
+        hashes_in_force = set().union(*list_hashes(current.record["bundle"]).values())
         hashes = set().union(*list_hashes(bundle).values())
-        if hashes <= known:
+        if hashes <= hashes_in_force:
             return Ok(None)
         oldest = max(1, current.version - WITHDRAWAL_SEARCH_VERSIONS)
         withdrawn = self._list_withdrawn_hashes(oldest, current)
@@ -254,8 +254,8 @@
 
         If the command reported a failure while the bundle is in force, the operator
         would write the next bundle against an older version; if it reported success
-        while a rival's bundle is in force, the operator would stop too early. Digest
-        and author distinguish the two cases.
+        while a rival's bundle is in force, the operator wouldn't notice. Digest and
+        author distinguish the two cases.
         """
         if refusal.code is Code.PLATFORM_UNAVAILABLE and refusal.ran == NOT_RUN:
             return fail(refusal)
@@ -365,7 +365,7 @@
     def _find_withdrawal(
         self, workspace: str, key_id: str, current: CurrentRecord
     ) -> Result[RolloutResult, RolloutError]:
-        """Return the version that withdrew the key, whoever its author is.
+        """Return the version, by any author, that withdrew the key.
 
         A command is run again when its answer was lost or when it timed out waiting for
         a daemon. The second run must recognize that the key is already withdrawn, but
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -258,7 +258,7 @@
     file = tool.folder / "bundle.toml"
     text = file.read_text().replace("rate = 100.0", "rate = 100.0  # in May", 1)
     file.write_text(text)
-    base = ("--output", "json")
+    json_output = ("--output", "json")
     for command in (
         ("workspace", "set-rate", path, "north", "50"),
         ("workspace", "add", path, "west", "--rate", "5", "--burst", "2"),
@@ -266,7 +266,7 @@
         ("endpoint", "drain", path, "orders-1"),
         ("endpoint", "remove", path, "orders-3"),
     ):
-        result = tool.run(*command, *base)
+        result = tool.run(*command, *json_output)
         assert (result.exit_code, json.loads(result.stdout)["rewritten"]) == (0, False)
     assert "rate = 50.0  # in May" in file.read_text()
     before = file.read_text()
