--- a/bronzerelay/keycommands.py
+++ b/bronzerelay/keycommands.py
@@ -1,4 +1,4 @@
-"""The commands for keys: operators' own ones and those of callers."""
+"""The commands for keys: operators' signing keys and callers' API keys."""
 
 import os
 
@@ -10,12 +10,12 @@
 from bronzerelay.following import wait_and_report
 from bronzerelay.keys import hash_key, make_key
 from bronzerelay.options import (
-    FLEET,
+    FLEET_OPTIONS,
     OPERATOR,
-    SIGNER,
+    SIGNING_OPTIONS,
     WAIT,
     Session,
-    takes,
+    with_options,
     write_examples,
 )
 from bronzerelay.outcomes import RolloutError
@@ -36,15 +36,17 @@
         "bronzerelay key make --operator ana --file ~/.bronzerelay-ana.key",
     )
 )
-@click.option("--file", help="Where the private key goes; OPERATOR.key by default.")
-@takes(OPERATOR)
+@click.option(
+    "--file", help="The file to write the private key to; OPERATOR.key by default."
+)
+@with_options(OPERATOR)
 def make(session: Session, file: str | None) -> int:
     """Make an operator's key pair for signing bundles."""
     name = session.settings.operator
     path = file or f"{name}.key"
     pair = make_operator_key()
     try:
-        _write_private(path, pair.private)
+        _write_private_key(path, pair.private)
     except OSError as error:
         message = f"{path} can't be written: {error.strerror}"
         refused = refuse(Code.NOT_FOUND, message).map_error(RolloutError)
@@ -62,29 +64,29 @@
     return DONE
 
 
-def _write_private(path: str, private: str) -> None:
+def _write_private_key(path: str, private_key: str) -> None:
     """Write a new file that only its owner may read.
 
-    An existing one is left alone: to replace an operator's key by mistake would lock
-    him out.
+    An existing file is an error: replacing an operator's only key by mistake would
+    lock the operator out.
     """
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     descriptor = os.open(path, flags, PRIVATE_MODE)
     with os.fdopen(descriptor, "w", encoding="ascii") as file:
         os.fchmod(descriptor, PRIVATE_MODE)
-        file.write(private + "\n")
+        file.write(private_key + "\n")
 
 
 @key.command(epilog=write_examples("bronzerelay key grant bundle.toml north till-7"))
 @click.argument("file")
 @click.argument("workspace")
 @click.argument("key_id", metavar="ID")
-@takes()
+@with_options()
 def grant(session: Session, file: str, workspace: str, key_id: str) -> int:
-    """Add a key ID for WORKSPACE to FILE and print the key, this once."""
-    missing = check_entry(session, file, "workspace", workspace)
-    if missing:
-        return missing
+    """Add a key ID for WORKSPACE to FILE and print the key, which isn't stored."""
+    exit_code = check_entry(session, file, "workspace", workspace)
+    if exit_code:
+        return exit_code
     secret = make_key()
     edit = edits.add_key(workspace, {"id": key_id, "hash": hash_key(secret)})
     return edit_file(
@@ -107,11 +109,11 @@
 )
 @click.argument("workspace")
 @click.argument("key_id", metavar="ID")
-@takes(*SIGNER, *FLEET, WAIT)
+@with_options(*SIGNING_OPTIONS, *FLEET_OPTIONS, WAIT)
 def withdraw(session: Session, workspace: str, key_id: str) -> int:
-    """Withdraw the key ID of WORKSPACE now, and wait until it has stopped.
+    """Withdraw the key ID of WORKSPACE and wait until every daemon rejects it.
 
-    It makes a new version of what is in force; one operator's signature is enough.
+    This puts a new version in force, for which one operator's signature is enough.
     """
     fleet = session.open_fleet()
     result = session.open_rollout().withdraw(workspace, key_id)
@@ -119,5 +121,7 @@
         return show_error(session.output, result.error)
     note = f"take key {key_id} out of your bundle file as well"
     in_force = result.ok._replace(notes=(*result.ok.notes, note))
-    done = f"key {key_id} of workspace {workspace} has stopped on every daemon"
-    return wait_and_report(session, fleet, in_force, done)
+    success_message = (
+        f"key {key_id} of workspace {workspace} has stopped on every daemon"
+    )
+    return wait_and_report(session, fleet, in_force, success_message)
