--- a/bronzerelay/pooler/catchup.py
+++ b/bronzerelay/pooler/catchup.py
@@ -1,4 +1,4 @@
-"""Taking a peer's mirror of the store, where this daemon's own is behind."""
+"""Fetches a peer's mirror of the store when this daemon's own is behind."""
 
 from urllib.parse import parse_qs
 
@@ -9,19 +9,19 @@
 from bronzerelay.runtime import Address, Runtime
 
 MIRROR_PATH = "/mirror"
-# The field of its query that names the revision after which changes are wanted.
+# The query field that holds the revision after which updates are requested.
 AFTER = "after"
-PEER_CALL_MS = 600
+PEER_TIMEOUT_MS = 600
 
 
 def read_after(query: str) -> int:
-    """Return the revision that a query for a mirror names; 0, for all, without one."""
-    found = parse_qs(query).get(AFTER, ["0"])[0]
-    return int(found) if found.isdecimal() else 0
+    """Return the revision in a query for a mirror; 0, for all items, without one."""
+    value = parse_qs(query).get(AFTER, ["0"])[0]
+    return int(value) if value.isdecimal() else 0
 
 
 class CatchUp:
-    """Looks whether peers are ahead, and asks one of them."""
+    """Checks whether peers are ahead, and fetches the mirror of one of them."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         self._mirror = mirror
         self._gossip = gossip
         self._seeds = seeds
-        # Where this daemon itself serves its mirror.
+        # The addresses at which this daemon itself serves its mirror.
         self._own = own
         self._log = log
         self._behind_since_ms: float | None = None
 
     def check_peers(self) -> None:
-        """Take a peer's mirror when it has been ahead of this one for a while."""
+        """Fetch a peer's mirror if one has been ahead of this mirror for a while."""
         ahead = [
             view
             for view in self._gossip.views.values()
@@ -60,7 +60,7 @@
         if now_ms - self._behind_since_ms < BEHIND_MS:
             return
         self._behind_since_ms = None
-        # The watch may hang on a connection that has fallen silent.
+        # The watch may be waiting on a connection that is dead.
         self._store.interrupt()
         addresses = [view.address for view in ahead] or list(self._seeds)
         if addresses:
@@ -69,18 +69,21 @@
                 self.fetch(address)
 
     def fetch(self, address: Address) -> bool:
-        """Take over what a peer knows beyond this mirror; return whether it told."""
+        """Fetch and apply a peer's updates; return whether the peer answered."""
         client = HttpClient(self._runtime, address)
         path = f"{MIRROR_PATH}?{AFTER}={self._mirror.revision}"
         try:
-            answer = client.call("GET", path, b"", PEER_CALL_MS)
+            answer = client.call("GET", path, b"", PEER_TIMEOUT_MS)
             if answer.status != 200:
                 return False
             self._mirror.unpack(answer.body, str(address))
             return True
         except (HttpCallError, ValueError) as error:
             self._log.write_request(
-                "store", "A peer gave no mirror.", peer=str(address), error=str(error)
+                "store",
+                "A peer's mirror couldn't be fetched.",
+                peer=str(address),
+                error=str(error),
             )
             return False
         finally:
--- a/bronzerelay/pooler/contacts.py
+++ b/bronzerelay/pooler/contacts.py
@@ -1,10 +1,10 @@
-"""With whom a daemon exchanges heartbeats: with all, or through relays.
+"""Chooses the peers that a daemon exchanges heartbeats with: all, or relays only.
 
-Heartbeats from everybody to everybody grow with the square of the fleet. So in a large
-one the first few daemons of each failure domain, in an order that all work out alike,
-are its relays: the others exchange heartbeats with the relays of their own domain
-alone, and the relays with each other. Nobody is appointed. Who finds a relay silent
-goes on to the next one in the order, and whoever is addressed answers.
+The traffic of a full mesh grows with the square of the fleet. So in a large fleet the
+first few daemons of each failure domain, by a ranking that all daemons compute alike,
+are its relays. The others exchange heartbeats only with the relays of their own domain,
+and the relays with each other. There is no election: a daemon that finds a relay silent
+also contacts the next one in the ranking, and each daemon replies to its contacts.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,11 +13,10 @@
 from bronzerelay.rendezvous import rank
 from bronzerelay.runtime import Address
 
-# Members up to which everybody exchanges heartbeats with everybody: relays would only
-# make news later.
-FULL_MESH = 12
-# Relays of each failure domain: when one goes, the other one has heard all.
-RELAYS = 2
+# The largest fleet that uses a full mesh, where relays would only add delay.
+MAX_MESH_SIZE = 12
+# Relays of each failure domain: when one fails, the other one has heard the same.
+RELAYS_PER_DOMAIN = 2
 
 
 class Peer(NamedTuple):
@@ -28,16 +27,16 @@
 
 
 class Plan(NamedTuple):
-    """Whom a daemon addresses of its own accord, and whether it is a relay."""
+    """The contacts of a daemon, which it sends each round to, and whether it relays."""
 
     contacts: frozenset[str]
     relaying: bool = False
-    # The members that stand for each failure domain, its first ones first.
+    # By failure domain, the members in use as its relays, in the order of the ranking.
     relays: dict[str, tuple[str, ...]] = {}
 
 
 class Contacts:
-    """Works out a daemon's contacts from the list of members."""
+    """Computes a daemon's contacts from the member list."""
 
     def __init__(self, name: str, domain: str):
         self._name = name
@@ -46,7 +45,7 @@
         self._orders: dict[str, list[str]] = {}
 
     def set_peers(self, peers: dict[str, Peer]) -> None:
-        """Take over who the others are."""
+        """Update the other members."""
         self._peers = peers
         domains: dict[str, list[str]] = {self._domain: [self._name]}
         for name, peer in peers.items():
@@ -56,52 +55,52 @@
         }
 
     def is_mesh(self) -> bool:
-        """Return whether everybody exchanges heartbeats with everybody."""
-        return len(self._peers) < FULL_MESH
+        """Return whether all daemons exchange heartbeats with each other."""
+        return len(self._peers) < MAX_MESH_SIZE
 
     def list_domain(self, domain: str) -> list[str]:
-        """Return the members of a failure domain, this daemon left out."""
+        """Return the members of a failure domain except this daemon."""
         order = self._orders.get(domain, [])
         return [name for name in order if name != self._name]
 
     def find_place(self) -> int:
-        """Return this daemon's place in the order of its failure domain."""
+        """Return this daemon's place in the ranking of its failure domain."""
         return self._orders.get(self._domain, [self._name]).index(self._name)
 
-    def plan(self, is_silent: Callable[[str], bool], makes_change: bool) -> Plan:
-        """Return whom to address while some members are found silent.
+    def plan(self, is_silent: Callable[[str], bool], holds_lock: bool) -> Plan:
+        """Return the contacts, given which members are silent.
 
-        Who makes a change of primary needs word of all members, so that it addresses
-        the relays of all domains.
+        The lock holder of a primary change needs acknowledgements of all members, so it
+        contacts the relays of all domains.
         """
         if self.is_mesh():
             return Plan(frozenset(self._peers))
-        reached = {
-            domain: self._reach(order, is_silent)
+        relays = {
+            domain: self._choose_relays(order, is_silent)
             for domain, order in self._orders.items()
         }
-        relaying = self._name in reached[self._domain]
-        contacts = set(reached[self._domain])
+        relaying = self._name in relays[self._domain]
+        contacts = set(relays[self._domain])
         if relaying:
             contacts.update(self._orders[self._domain])
-        if relaying or makes_change:
-            contacts.update(name for names in reached.values() for name in names)
+        if relaying or holds_lock:
+            contacts.update(name for names in relays.values() for name in names)
         contacts.discard(self._name)
-        return Plan(frozenset(contacts), relaying, reached)
+        return Plan(frozenset(contacts), relaying, relays)
 
-    def _reach(
+    def _choose_relays(
         self, order: Iterable[str], is_silent: Callable[[str], bool]
     ) -> tuple[str, ...]:
-        """Return the first of a domain up to as many that aren't silent as it needs.
+        """Return the first members of a domain, up to enough that aren't silent.
 
-        Silent ones are addressed still, or nobody would notice that they are back.
+        Silent ones are included, or their return wouldn't be noticed.
         """
-        reached = []
-        missing = RELAYS
+        relays = []
+        missing = RELAYS_PER_DOMAIN
         for name in order:
             if missing == 0:
                 break
-            reached.append(name)
+            relays.append(name)
             if name == self._name or not is_silent(name):
                 missing -= 1
-        return tuple(reached)
+        return tuple(relays)
--- a/bronzerelay/pooler/directory.py
+++ b/bronzerelay/pooler/directory.py
@@ -1,4 +1,4 @@
-"""What this process believes: the configuration, the instances and who leads."""
+"""The daemon's view of the configuration, the instances and the primaries."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,20 @@
 from bronzerelay.pooler.fleetconfig import FleetConfig, InstanceEntry, Route
 from bronzerelay.runtime import Runtime
 
-# An instance that is listed no more is used for this long still, in milliseconds: its
-# entry may have lapsed while the store was away, and comes back within two seconds of
-# the store's return. Dropped at once, all instances would be gone for that time.
-GONE_AFTER_MS = 2_500
+# How long an instance that is no longer listed is still used, in milliseconds: its
+# entry may have expired while the store was down, and is listed again within two
+# seconds of the store's recovery. If entries were dropped at once, there would be no
+# instances for that time.
+KEEP_UNLISTED_MS = 2_500
 
 
 class PrimaryRecord(NamedTuple):
-    """Who was last made primary of a service, as the platform's store holds it.
+    """The last primary change of a service, as recorded in the platform's store.
 
-    `term` is the term at which it leads. While `settled` is False the change is under
-    way and nobody may use a primary of the service. `deposed` is who led before.
-    `epoch` is the fencing token of the change and `holder` the daemon that makes it.
+    `instance` is the primary and `term` its term. While `settled` is False the change
+    is under way and no daemon may use a primary of the service. `deposed` is the
+    primary before the change. `epoch` is the change's fencing token and `holder` the
+    daemon that holds its lock.
     """
 
     service: str
@@ -27,19 +29,19 @@
     holder: str
     settled: bool
     deposed: str
-    # A planned change leaves what runs at the old primary time to end.
+    # A switchover gives statements that run at the old primary time to end.
     planned: bool
 
 
 class Directory:
-    """The newest configuration, the listed instances and the records of who leads.
+    """The newest configuration, the listed instances and the primary records.
 
-    Readers see whole objects that are replaced and never changed, so that no lock is
-    taken for a request.
+    Its dictionaries are replaced and never modified, so that requests read them without
+    a lock.
     """
 
     def __init__(self, runtime: Runtime, log: EventLog, leave_within_ms: float):
-        # How long after it said that it was leaving an instance may be used.
+        # How long an instance may be used after it announced that it is leaving.
         self._leave_within_ms = leave_within_ms
         self._leaving_since_ms: dict[str, float] = {}
         self._lock = runtime.make_lock()
@@ -58,10 +60,10 @@
         return self.config.version if self.config else 0
 
     def set_config(self, config: FleetConfig, source: str) -> bool:
-        """Put a configuration in force unless it is older; return whether it was put.
+        """Apply a configuration if its version is newer; return whether it was applied.
 
-        An answer that was held up may bring an old version after a newer one. A
-        withdrawn key would work again, so that versions never go back here.
+        A delayed answer may bring an old version after a newer one. Versions never go
+        back here, or a withdrawn key would be accepted again.
         """
         with self._lock:
             known = self.version
@@ -87,7 +89,7 @@
     # Instances
 
     def set_instance(self, entry: InstanceEntry) -> None:
-        """Take over what an instance says of itself."""
+        """Add or update an instance by its entry in the store."""
         with self._lock:
             self._unlisted_ms.pop(entry.id, None)
             known = self.instances.get(entry.id)
@@ -110,22 +112,22 @@
         )
 
     def unlist_instance(self, instance_id: str) -> None:
-        """Note that an instance is listed no more; it is forgotten after a while."""
+        """Note that an instance is no longer listed; it is removed after a while."""
         with self._lock:
             if instance_id in self.instances:
                 now_ms = self._clock.now_ms()
                 self._unlisted_ms.setdefault(instance_id, now_ms)
 
     def forget_unlisted(self) -> None:
-        """Forget the instances that have been missing for long enough."""
-        oldest_ms = self._clock.now_ms() - GONE_AFTER_MS
+        """Remove the instances that have been unlisted for long enough."""
+        oldest_ms = self._clock.now_ms() - KEEP_UNLISTED_MS
         missing = [
             key for key, since_ms in self._unlisted_ms.items() if since_ms < oldest_ms
         ]
         for instance_id in missing:
-            self._forget(instance_id)
+            self._remove(instance_id)
 
-    def _forget(self, instance_id: str) -> None:
+    def _remove(self, instance_id: str) -> None:
         with self._lock:
             known = self.instances.get(instance_id)
             if self._unlisted_ms.pop(instance_id, None) is None or known is None:
@@ -138,7 +140,7 @@
             self._regroup()
         self._log.write(
             "instances",
-            "An instance is gone.",
+            "An instance was removed.",
             instance=instance_id,
             service=known.service,
         )
@@ -154,7 +156,7 @@
         return self._by_service.get(service, ())
 
     def is_listed(self, entry: InstanceEntry) -> bool:
-        """Return whether the same start of the instance is still listed."""
+        """Return whether the same run of the instance is still listed."""
         known = self.instances.get(entry.id)
         return (
             known is not None
@@ -162,10 +164,10 @@
             and known.address == entry.address
         )
 
-    # Who leads
+    # Primaries
 
     def set_primary_record(self, record: PrimaryRecord) -> bool:
-        """Take over the record of a change of primary; return whether it is new."""
+        """Apply the record of a primary change; return whether it is new."""
         with self._lock:
             known = self.primary_records.get(record.service)
             if known is not None and not _is_newer(record, known):
@@ -173,9 +175,9 @@
             self.primary_records = {**self.primary_records, record.service: record}
         self._log.write(
             "leads",
-            "A change of primary is settled."
+            "A primary change is settled."
             if record.settled
-            else "A change of primary is under way.",
+            else "A primary change is under way.",
             service=record.service,
             instance=record.instance,
             term=record.term,
@@ -186,22 +188,22 @@
         return True
 
     def find_primary(self, service: str) -> InstanceEntry | None:
-        """Return the primary of a service, or None while there is none to be used."""
+        """Return the primary of a service, or None while there is no usable one."""
         record = self.primary_records.get(service)
         if record is not None:
             if not record.settled:
                 return None
-            named = self.instances.get(record.instance)
-            if named is not None and named.service == service:
-                return None if self.is_past_leaving(named) else named
+            recorded = self.instances.get(record.instance)
+            if recorded is not None and recorded.service == service:
+                return None if self.has_left(recorded) else recorded
         for entry in self.list_instances(service):
             deposed = record is not None and entry.id == record.deposed
-            if entry.claims_primary and not deposed and not self.is_past_leaving(entry):
+            if entry.claims_primary and not deposed and not self.has_left(entry):
                 return entry
         return None
 
-    def is_past_leaving(self, entry: InstanceEntry) -> bool:
-        """Return whether an instance has been leaving for so long that it is gone."""
+    def has_left(self, entry: InstanceEntry) -> bool:
+        """Return whether the time in which a leaving instance may be used is over."""
         since_ms = self._leaving_since_ms.get(entry.id)
         if not entry.leaving or since_ms is None:
             return False
--- a/bronzerelay/pooler/events.py
+++ b/bronzerelay/pooler/events.py
@@ -1,4 +1,4 @@
-"""The structured log: one JSON line an event, bounded, and never waited for."""
+"""The structured log: one JSON line per event, with a bounded queue."""
 
 import os
 import sys
@@ -9,19 +9,20 @@
 
 from bronzerelay.runtime import Runtime
 
-# Lines that may wait for the writer. A reader of the log that stalls must not hold up
-# a caller, so that what doesn't fit is dropped and counted.
-QUEUE_LINES = 2_000
-# Lines a second that requests may cause, with the same number saved up. The fault of a
-# moment would else write thousands of equal lines and cost the callers' processor time.
+# The most lines that may wait to be written. A reader of the log that stalls must not
+# delay callers, so lines beyond this are dropped and counted.
+MAX_QUEUED_LINES = 2_000
+# The token bucket for lines that requests cause, in lines a second; its burst is the
+# same number. Without it a brief fault would write thousands of similar lines and use
+# processor time that callers need.
 REQUEST_LINES_PER_S = 120
-# Time between two looks of the writer, in milliseconds.
+# The interval at which queued lines are written, in milliseconds.
 FLUSH_MS = 200
 STDOUT = 1
 
 
 class EventLog:
-    """Takes events from any task; its own task writes them to standard output."""
+    """Queues events from any task; its own task writes them to standard output."""
 
     def __init__(self, runtime: Runtime, node: str, descriptor: int = STDOUT):
         self._runtime = runtime
@@ -29,14 +30,14 @@
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._encoder = msgspec.json.Encoder()
-        self._allowance = float(REQUEST_LINES_PER_S)
-        self._allowance_at_ms = runtime.clock.now_ms()
+        self._tokens = float(REQUEST_LINES_PER_S)
+        self._refilled_at_ms = runtime.clock.now_ms()
         self.dropped = 0
-        self._reported = 0
+        self._reported_drops = 0
 
     def write(self, part: str, message: str, **fields: Any) -> None:
-        """Queue one event of a part, with its fields."""
-        if len(self._lines) >= QUEUE_LINES:
+        """Queue one event of a part of the daemon, with its fields."""
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         event = {
@@ -50,15 +51,15 @@
         self._lines.append(self._encoder.encode(event) + b"\n")
 
     def write_request(self, part: str, message: str, **fields: Any) -> None:
-        """Queue an event that a request caused, within the allowance for these."""
+        """Queue an event that a request caused, if the token bucket allows it."""
         now_ms = self._runtime.clock.now_ms()
-        earned = (now_ms - self._allowance_at_ms) * REQUEST_LINES_PER_S / 1000
-        self._allowance_at_ms = now_ms
-        self._allowance = min(REQUEST_LINES_PER_S, self._allowance + earned)
-        if self._allowance < 1:
+        refill = (now_ms - self._refilled_at_ms) * REQUEST_LINES_PER_S / 1000
+        self._refilled_at_ms = now_ms
+        self._tokens = min(REQUEST_LINES_PER_S, self._tokens + refill)
+        if self._tokens < 1:
             self.dropped += 1
             return
-        self._allowance -= 1
+        self._tokens -= 1
         self.write(part, message, **fields)
 
     def run(self) -> None:
@@ -69,9 +70,9 @@
 
     def flush(self) -> None:
         """Write all queued lines now."""
-        if self.dropped > self._reported:
-            dropped = self.dropped - self._reported
-            self._reported = self.dropped
+        if self.dropped > self._reported_drops:
+            dropped = self.dropped - self._reported_drops
+            self._reported_drops = self.dropped
             self.write("log", "Lines were dropped.", count=dropped)
         lines = []
         while self._lines:
@@ -81,6 +82,6 @@
             try:
                 data = data[os.write(self._descriptor, data) :]
             except OSError as error:
-                # Standard output is gone; nothing else could tell anybody.
-                sys.stderr.write(f"log: lines were lost: {error}\n")
+                # Standard output is closed, so standard error is all that is left.
+                sys.stderr.write(f"log: lines couldn't be written: {error}\n")
                 return
--- a/bronzerelay/pooler/freshness.py
+++ b/bronzerelay/pooler/freshness.py
@@ -1,9 +1,10 @@
-"""Bounds how old the fleet's knowledge of the platform's store may become.
+"""Polls the platform's store to bound how far the fleet's mirrors may lag behind it.
 
-A watch that waits and one that was lost look alike until it times out. So some daemon
-asks the store for its revision now and then. If the mirror has reached it, all earlier
-changes are known, which heartbeats tell the others; if not, the watch is sent anew.
-The daemons ask in an order, each only once those before it should have told it.
+A waiting watch can't be told from a lost one until it times out. So one of the daemons
+polls the store's revision now and then. If its mirror has reached that revision, the
+mirror is current, and heartbeats tell the other daemons; if not, the watch is
+restarted. The daemons take turns by rank: each polls only when those before it should
+have reported a poll and haven't.
 """
 
 from collections.abc import Callable
@@ -14,31 +15,31 @@
 from bronzerelay.pooler.mirror import BEHIND_MS, Mirror, Store, StoreError
 from bronzerelay.runtime import Runtime
 
-# The part of the time within which a change has to be in force, after which the first
-# daemon in the order asks.
+# The first daemon in rank polls once the mirror's age has reached this part of the time
+# within which a new configuration has to be in force.
 POLL_PART = 0.25
-# How much longer each further daemon in the order waits, in milliseconds.
+# How much longer each further daemon in rank waits, in milliseconds.
 STEP_MS = 50
-# The time that one poll may take, in milliseconds.
+# The timeout of one poll, in milliseconds.
 POLL_TIMEOUT_MS = 1_000
-# The pause after a poll without an answer or with news, in milliseconds. Further down
-# the order it is longer in proportion, so that an outage costs a large fleet few calls.
+# The pause after a poll that failed or found updates, in milliseconds. After a failure
+# it grows with the rank, so that an outage costs a large fleet few calls.
 RETRY_MS = 500
-# The least time between two looks at the age, in milliseconds.
-LOOK_MS = 50
-# Time between two looks whether the mirror has been loaded, in milliseconds.
-LOADING_MS = 250
+# The shortest interval between checks of the mirror's age, in milliseconds.
+MIN_CHECK_MS = 50
+# The interval of checks until the mirror has been loaded, in milliseconds.
+LOADING_CHECK_MS = 250
 
 
 class Turn(NamedTuple):
-    """A daemon's place in the order, and how late it learns what others know."""
+    """A daemon's rank among those that poll, and how late it learns of their polls."""
 
     place: int
     lag_ms: float
 
 
 class StorePoller:
-    """Asks the store for its revision when nothing newer is known here."""
+    """Polls the store's revision when the mirror hasn't been confirmed lately."""
 
     def __init__(
         self,
@@ -67,59 +68,60 @@
             pass
 
     def poll_if_due(self) -> float:
-        """Poll the store if it is this daemon's turn; return when to look again."""
+        """Poll the store if it is this daemon's turn; return the time to wait."""
         if not self._mirror.loaded:
-            return LOADING_MS
+            return LOADING_CHECK_MS
         pause_ms = self._next_ms - self._clock.now_ms()
         if pause_ms > 0:
             return pause_ms
         turn = self._find_turn()
-        if self._find_left_ms(turn) <= 0:
+        if self._time_to_poll_ms(turn) <= 0:
             self._poll(turn)
-        return max(LOOK_MS, self._find_left_ms(turn))
+        return max(MIN_CHECK_MS, self._time_to_poll_ms(turn))
 
-    def _find_left_ms(self, turn: Turn) -> float:
-        """Return for how long nothing is due, whatever is heard until then."""
-        return self.find_limit_ms(turn) - self._mirror.store_age_ms()
+    def _time_to_poll_ms(self, turn: Turn) -> float:
+        """Return the time until a poll is due if no other daemon's is heard of."""
+        return self.poll_age_ms(turn) - self._mirror.store_age_ms()
 
-    def find_limit_ms(self, turn: Turn) -> float:
-        """Return how old what is known may be before this daemon asks."""
+    def poll_age_ms(self, turn: Turn) -> float:
+        """Return the age of the mirror from which on this daemon polls."""
         first_ms = self._apply_within_ms * POLL_PART
         return first_ms + turn.lag_ms + turn.place * STEP_MS
 
     def _poll(self, turn: Turn) -> None:
         sent_at_ms = self._clock.now_ms()
         try:
-            at = self._store.read_revision(POLL_TIMEOUT_MS)
+            revision = self._store.read_revision(POLL_TIMEOUT_MS)
         except StoreError as error:
             self._note_failure(error, sent_at_ms, turn)
             return
         self._note_answer()
-        if self._mirror.note_known(at, sent_at_ms):
+        if self._mirror.confirm_current(revision, sent_at_ms):
             self._counters.count("store_polls", outcome="known")
             return
         self._counters.count("store_polls", outcome="behind")
-        self._wait_for_watch(at, self._clock.now_ms() - sent_at_ms)
+        self._wait_for_watch(revision, self._clock.now_ms() - sent_at_ms)
 
-    def _wait_for_watch(self, at: int, took_ms: float) -> None:
-        """Give the watch time to bring what the store has; send it anew if it fails.
+    def _wait_for_watch(self, revision: int, took_ms: float) -> None:
+        """Give the watch time to reach a revision, and restart it if it doesn't.
 
-        News take as long as the poll took, and the watch may not have been sent yet.
+        An update may take as long as the poll did, and the watch may not have been sent
+        yet.
         """
         end_ms = self._clock.now_ms() + BEHIND_MS + took_ms
-        while self._mirror.revision < at and self._clock.now_ms() < end_ms:
-            if not self._runtime.sleep_ms(LOOK_MS):
+        while self._mirror.revision < revision and self._clock.now_ms() < end_ms:
+            if not self._runtime.sleep_ms(MIN_CHECK_MS):
                 return
-        if self._mirror.revision >= at:
+        if self._mirror.revision >= revision:
             return
         self._log.write(
             "store",
-            "The watch doesn't bring what the store has.",
-            at=at,
+            "The watch misses updates that the store has.",
+            at=revision,
             before=self._mirror.revision,
             age_ms=round(self._mirror.store_age_ms()),
         )
-        self._mirror.renew()
+        self._mirror.restart_watch()
         self._pause(1)
 
     def _note_answer(self) -> None:
@@ -138,7 +140,7 @@
         if self._failures == 1:
             self._log.write(
                 "store",
-                "A poll of the store got no answer.",
+                "A poll of the store failed.",
                 error=str(error),
                 waited_ms=round(self._clock.now_ms() - sent_at_ms),
                 age_ms=round(self._mirror.store_age_ms()),
--- a/bronzerelay/pooler/gossip.py
+++ b/bronzerelay/pooler/gossip.py
@@ -1,9 +1,9 @@
-"""Heartbeats between daemons: small datagrams that carry what all must know.
+"""Exchanges heartbeats with other daemons in small UDP datagrams.
 
-A datagram says nothing about its own age: one that waited in a queue while this
-process was frozen reads like a new one. So each heartbeat repeats the number of the
-last one that it got from its receiver, and what it says counts from when that one was
-sent, by the receiver's own clock.
+The age of a datagram can't be seen from it: one that waited in a socket's queue while
+this process was frozen looks like a new one. So each heartbeat echoes the number of the
+last one that its sender got from the receiver, and its content counts as of the time at
+which the receiver sent that one, by the receiver's own clock.
 """
 
 from collections.abc import Callable, Container
@@ -17,34 +17,34 @@
 from bronzerelay.pooler.sources import Report
 from bronzerelay.runtime import Address, DatagramSocket, Runtime
 
-# Time between two heartbeats, in milliseconds. A daemon counts as silent after three
-# lost ones.
+# The interval between heartbeats, in milliseconds. A daemon counts as silent after
+# three lost ones.
 BEAT_MS = 300
-# The least time between two heartbeats, in milliseconds.
-HURRY_MS = 15
-# How long the sending time of a heartbeat is remembered, to match the numbers that
-# come back, in milliseconds. What is older than a lease proves nothing.
-REMEMBERED_MS = 3_000
-# Peers that one round reaches; with more of them the rounds take turns.
+# The shortest interval between heartbeats, in milliseconds.
+MIN_INTERVAL_MS = 15
+# How long the send time of a heartbeat is kept to match echoed numbers, in
+# milliseconds. An echo of a heartbeat that is older than a lease is no proof.
+SENT_KEPT_MS = 3_000
+# The most receivers of one round; with more of them, rounds alternate between them.
 FANOUT = 128
-# Who was heard within this time gets news at once, in milliseconds: as long as proofs
-# last.
-ANSWER_MS = 1_000
+# Urgent heartbeats also go to peers heard within this time, in milliseconds. It is as
+# long as a primary proof is valid.
+RECENT_PEER_MS = 1_000
 MAX_DATAGRAM_BYTES = 8192
 NEVER_MS = -1e15
 
 
 class Relayed(NamedTuple):
-    """What a relay has heard of the members that it exchanges heartbeats with.
+    """What a relay passes on of the members that it exchanges heartbeats with.
 
-    `heard` says for how many milliseconds all that a member had told is known to the
-    relay, and `known_at` a revision of the store that all of these know. `acknowledged`
-    holds for a service whose primary is being changed the epoch and the members that
-    can't use the old primary any more.
+    `heard` holds, by member, the age in milliseconds up to which the relay knows all
+    that the member had announced. `known_revision` is a store revision that all of
+    these know. `acknowledged` holds, by service whose primary is being changed, the
+    epoch and the members that can't use the old primary any more.
     """
 
     heard: dict[str, float]
-    known_at: int
+    known_revision: int
     acknowledged: dict[str, tuple[int, list[str]]]
 
 
@@ -53,16 +53,16 @@
 
     `echo` is the number of the last heartbeat that the sender got from the receiver's
     incarnation `echo_incarnation`. `store_revision` is the revision of the platform's
-    store that the sender knows. `report` is what was asked for and admitted.
-    `positions` holds the end of the log (term, number) and its age in milliseconds for
-    each service, and `silent` by observer the instances that give it no answer, and for
-    how many milliseconds. `leads` are the changes of primary that the sender knows of
-    and the receiver may not; `all_told` says that none was left out for want of room.
-    `under_way` holds the epochs of those that aren't settled for all that it knows.
-    `acknowledged` is the epoch of each change that the sender knows of and has nothing
-    under way before. `proof_age_ms` is the age of the sender's proof, None without one.
-    All changes of the store up to `store_age_ms` ago have revisions up to
-    `store_revision`.
+    store that the sender has, and all store updates up to `store_age_ms` ago have
+    revisions up to it. `report` holds the operations asked for and admitted.
+    `positions` holds, by service, the end of the primary's log (term, number) and its
+    age in milliseconds. `silent` holds, by observer, the instances that don't answer
+    it, and for how many milliseconds. `primary_records` are the records that the
+    receiver may lack; `has_all_records` is false when some didn't fit. `unsettled`
+    holds, by service, the epoch of each change that isn't settled as far as the sender
+    knows. `acknowledged` holds, by service, the epoch of each change that the sender
+    knows while it has no statement in progress at the old primary. `proof_age_ms` is
+    the age of the sender's primary proof, None without one.
     """
 
     sender: str
@@ -76,19 +76,19 @@
     report: Report
     positions: dict[str, tuple[int, int, float]]
     silent: dict[str, dict[str, float]]
-    leads: list[PrimaryRecord]
-    all_told: bool
-    under_way: dict[str, int]
+    primary_records: list[PrimaryRecord]
+    has_all_records: bool
+    unsettled: dict[str, int]
     acknowledged: dict[str, int]
     proof_age_ms: float | None
     relaying: bool
     relayed: Relayed | None
-    # Whether the receiver is to answer at once, and not when it is due to send.
-    asks: bool = False
+    # Whether the receiver should reply at once and not with its next round.
+    wants_reply: bool = False
 
 
 class Echo(NamedTuple):
-    """The last heartbeat that was got of a peer, which the next one to it answers."""
+    """The last heartbeat from a peer, which the next one to that peer echoes."""
 
     number: int
     incarnation: int
@@ -98,37 +98,39 @@
 
 
 class PeerView:
-    """What was last heard of one peer; times are of the own clock."""
+    """What was last heard of one peer; times are of this daemon's clock."""
 
     def __init__(self, name: str, peer: Peer, listed_at_ms: float):
         self.name = name
         self.peer = peer
         self.listed_at_ms = listed_at_ms
-        # Since when it is addressed of this daemon's own accord, None when it isn't.
-        self.addressed_since_ms: float | None = None
+        # Since when the peer is a contact of this daemon, None when it isn't.
+        self.contact_since_ms: float | None = None
         self.incarnation = 0
         self.number = -1
         self.received_at_ms = NEVER_MS
         self.stopping = False
         self.relaying = False
         self.store_revision = 0
-        # All that it had told anybody up to then is known here, by itself or a relay.
-        self.told_at_ms = NEVER_MS
-        # The revision of the store that it knew when it told that, or a later time.
-        self.knew_at = 0
-        # For each service the epoch of the change that the peer has acknowledged.
+        # All that the peer had announced up to this time is known here, either from the
+        # peer itself or through a relay.
+        self.heard_up_to_ms = NEVER_MS
+        # A store revision that the peer knew at that time or later.
+        self.known_revision = 0
+        # By service, the epoch of the primary change that the peer has acknowledged.
         self.acknowledged: dict[str, int] = {}
-        # For each service the epoch of the change that it doesn't know the end of.
-        self.under_way: dict[str, int] = {}
-        # What it had acknowledged when it was last looked at for news.
-        self.acknowledged_before: dict[str, int] = {}
-        # The instances that give the peer no answer, since when, and when it said so.
+        # By service, the epoch of a change that isn't settled as far as the peer knows.
+        self.unsettled: dict[str, int] = {}
+        # The value of `acknowledged` when it was last checked for updates.
+        self.acknowledged_at_last_check: dict[str, int] = {}
+        # The instances that don't answer the peer and since when, and the time at which
+        # that was reported.
         self.silent_since_ms: dict[str, float] = {}
-        self.silent_at_ms = NEVER_MS
-        # Whether it said so here itself, and not through a relay.
-        self.silent_directly = False
-        # The last of this process's heartbeats that the peer has got.
-        self.echoed = -1
+        self.silent_reported_at_ms = NEVER_MS
+        # Whether the peer reported it here itself, not through a relay.
+        self.silent_reported_directly = False
+        # The number of the last heartbeat of this process that the peer has got.
+        self.echoed_number = -1
 
     @property
     def address(self) -> Address:
@@ -136,12 +138,12 @@
         return self.peer.address
 
 
-# Makes the part of a heartbeat that doesn't depend on its receiver.
-Describe = Callable[[], Beat]
-# Adds what is for one receiver, which has got all that was told up to a moment.
-Complete = Callable[[Beat, PeerView, float | None], Beat]
-# Takes a heartbeat, its sender, and the moment from which what it says counts.
-TakeBeat = Callable[[Beat, PeerView, float], None]
+# Builds the part of a heartbeat that doesn't depend on its receiver.
+BuildBeat = Callable[[], Beat]
+# Adds the part for one receiver, given the time up to which it has all reports.
+CompleteBeat = Callable[[Beat, PeerView, float | None], Beat]
+# Handles a heartbeat, given its sender and the time as of which its content counts.
+HandleBeat = Callable[[Beat, PeerView, float], None]
 
 
 class Gossip:
@@ -155,19 +157,19 @@
         self._lock = runtime.make_lock()
         self._sock: DatagramSocket = runtime.open_datagram_socket(address)
         self.incarnation = runtime.random.getrandbits(48)
-        # When the heartbeats of the last seconds were sent, by number.
+        # By number, when each heartbeat of the last seconds was sent.
         self._sent: dict[int, float] = {}
         self._number = 0
-        self._turn = 0
+        self._next_receiver = 0
         self._condition = runtime.make_condition()
-        self._hurried = False
+        self._urgent = False
         self._decoder = msgspec.msgpack.Decoder(Beat)
         self._encoder = msgspec.msgpack.Encoder()
         self.views: dict[str, PeerView] = {}
         self.bytes_sent = 0
 
     def set_members(self, peers: dict[str, Peer]) -> None:
-        """Take over who the others are and where they listen."""
+        """Update the other members and their addresses."""
         with self._lock:
             views = {}
             for name, peer in peers.items():
@@ -180,43 +182,43 @@
             self.views = views
 
     def set_contacts(self, names: Container[str]) -> None:
-        """Take over whom to address of this daemon's own accord."""
+        """Set the members that this daemon sends each of its rounds to."""
         now_ms = self._clock.now_ms()
         for name, view in self.views.items():
             if name not in names:
-                view.addressed_since_ms = None
-            elif view.addressed_since_ms is None:
-                view.addressed_since_ms = now_ms
+                view.contact_since_ms = None
+            elif view.contact_since_ms is None:
+                view.contact_since_ms = now_ms
 
-    def run_sender(self, describe: Describe, complete: Complete) -> None:
+    def run_sender(self, build: BuildBeat, complete: CompleteBeat) -> None:
         """Send heartbeats until the runtime stops."""
         while not self._runtime.stopping:
             with self._condition:
-                hurried = self._runtime.wait_for(
-                    self._condition, lambda: self._hurried, BEAT_MS
+                urgent = self._runtime.wait_for(
+                    self._condition, lambda: self._urgent, BEAT_MS
                 )
-                self._hurried = False
-            self.run_round(describe, complete, hurried)
-            if hurried:
-                self._runtime.sleep_ms(HURRY_MS)
+                self._urgent = False
+            self.run_round(build, complete, urgent)
+            if urgent:
+                self._runtime.sleep_ms(MIN_INTERVAL_MS)
 
     def send_now(self) -> None:
-        """Send the next heartbeat at once: it holds what others wait for."""
+        """Send the next heartbeat at once, because others wait for its content."""
         with self._condition:
-            self._hurried = True
+            self._urgent = True
             self._condition.notify()
 
     def run_round(
-        self, describe: Describe, complete: Complete, hurried: bool = False
+        self, build: BuildBeat, complete: CompleteBeat, urgent: bool = False
     ) -> None:
-        """Describe this daemon and send the round.
+        """Build one heartbeat and send it to the receivers of this round.
 
-        Which heartbeats are answered is noted before. While this process is frozen
-        between the two, newer ones arrive; answered with what was described before the
-        freeze, that would count as told after it, and an old proof as a new one.
+        The numbers to echo are read before the heartbeat is built. If the process is
+        frozen in between, newer heartbeats arrive; if the one built before the freeze
+        echoed these, its old content, and its old proof, would count as new.
         """
         echoes = self._list_echoes()
-        self.send_round(describe(), complete, hurried, echoes)
+        self.send_round(build(), complete, urgent, echoes)
 
     def _list_echoes(self) -> dict[str, Echo]:
         with self._lock:
@@ -228,55 +230,55 @@
     def send_round(
         self,
         beat: Beat,
-        complete: Complete,
-        hurried: bool = False,
+        complete: CompleteBeat,
+        urgent: bool = False,
         echoes: dict[str, Echo] | None = None,
     ) -> None:
-        """Send one heartbeat to all contacts, or to the next ones in turn.
+        """Send one heartbeat to all contacts, or to the next FANOUT of them.
 
-        One that holds news goes to those, too, who address this daemon. Each gets what
-        has changed since the last one that it has got, as a report in full grows with
-        the workspaces.
+        An urgent one also goes to the peers that send heartbeats to this daemon. Each
+        receiver gets what has changed since the last heartbeat that it has got, because
+        a full report grows with the number of workspaces.
         """
         if echoes is None:
             echoes = self._list_echoes()
-        number = self._take_number()
-        views = self._list_receivers(hurried)
+        number = self._next_number()
+        views = self._list_receivers(urgent)
         if len(views) > FANOUT:
-            start = self._turn % len(views)
+            start = self._next_receiver % len(views)
             views = (views + views)[start : start + FANOUT]
-            self._turn += FANOUT
+            self._next_receiver += FANOUT
         for view in views:
-            completed = complete(beat, view, self._find_sent(view.echoed))
+            completed = complete(beat, view, self._find_sent(view.echoed_number))
             self._send(completed, view, number, echoes.get(view.name, NO_ECHO))
 
-    def answer(self, beat: Beat, view: PeerView, complete: Complete) -> None:
-        """Send one heartbeat to a peer that has asked for it."""
-        number = self._take_number()
-        completed = complete(beat, view, self._find_sent(view.echoed))
+    def reply(self, beat: Beat, view: PeerView, complete: CompleteBeat) -> None:
+        """Send one heartbeat to a peer that wants a reply."""
+        number = self._next_number()
+        completed = complete(beat, view, self._find_sent(view.echoed_number))
         echo = Echo(view.number, view.incarnation)
-        self._send(completed._replace(asks=False), view, number, echo)
+        self._send(completed._replace(wants_reply=False), view, number, echo)
 
-    def _take_number(self) -> int:
-        """Return the number of the next heartbeat, which is sent now."""
+    def _next_number(self) -> int:
+        """Return the number of the next heartbeat, and keep now as its send time."""
         now_ms = self._clock.now_ms()
         with self._lock:
             self._number += 1
             self._sent[self._number] = now_ms
             for number in list(self._sent):
-                if self._sent[number] >= now_ms - REMEMBERED_MS:
+                if self._sent[number] >= now_ms - SENT_KEPT_MS:
                     break
                 del self._sent[number]
             return self._number
 
-    def _list_receivers(self, hurried: bool) -> list[PeerView]:
-        """Return the contacts, and where there is news all who were heard lately."""
+    def _list_receivers(self, urgent: bool) -> list[PeerView]:
+        """Return the contacts and, when urgent, all recently heard peers."""
         now_ms = self._clock.now_ms()
-        oldest_ms = now_ms - ANSWER_MS if hurried else now_ms
+        oldest_ms = now_ms - RECENT_PEER_MS if urgent else now_ms
         return [
             view
             for view in self.views.values()
-            if view.addressed_since_ms is not None or view.received_at_ms > oldest_ms
+            if view.contact_since_ms is not None or view.received_at_ms > oldest_ms
         ]
 
     def _send(self, beat: Beat, view: PeerView, number: int, echo: Echo) -> None:
@@ -296,8 +298,8 @@
                 error=str(error),
             )
 
-    def run_receiver(self, take: TakeBeat) -> None:
-        """Take heartbeats in until the runtime stops."""
+    def run_receiver(self, handle: HandleBeat) -> None:
+        """Receive and handle heartbeats until the runtime stops."""
         while not self._runtime.stopping:
             try:
                 data = self._sock.receive(MAX_DATAGRAM_BYTES)
@@ -305,17 +307,19 @@
                 continue
             except OSError as error:
                 if not self._runtime.stopping:
-                    self._log.write("gossip", "Receiving failed.", error=str(error))
+                    self._log.write(
+                        "gossip", "Heartbeats couldn't be received.", error=str(error)
+                    )
                     self._runtime.sleep_ms(BEAT_MS)
                 continue
-            self._take(data, take)
+            self._handle(data, handle)
 
-    def _take(self, data: bytes, take: TakeBeat) -> None:
+    def _handle(self, data: bytes, handle: HandleBeat) -> None:
         try:
             beat = self._decoder.decode(data)
         except msgspec.DecodeError as error:
             self._log.write_request(
-                "gossip", "A heartbeat can't be read.", error=str(error)
+                "gossip", "A heartbeat couldn't be decoded.", error=str(error)
             )
             return
         view = self.views.get(beat.sender)
@@ -327,7 +331,7 @@
             if beat.incarnation != view.incarnation:
                 self._log.write(
                     "gossip",
-                    "A peer is heard of for the first time.",
+                    "A peer is heard for the first time.",
                     peer=beat.sender,
                     incarnation=beat.incarnation,
                 )
@@ -337,22 +341,22 @@
             view.stopping = beat.stopping
             view.relaying = beat.relaying
             view.store_revision = beat.store_revision
-            view.under_way = beat.under_way
+            view.unsettled = beat.unsettled
             view.acknowledged = dict(beat.acknowledged)
-            view.echoed = -1
+            view.echoed_number = -1
             if beat.echo_incarnation == self.incarnation:
-                view.echoed = beat.echo
-            sent_at_ms = self._find_sent(view.echoed)
+                view.echoed_number = beat.echo
+            sent_at_ms = self._find_sent(view.echoed_number)
             proven_ms = NEVER_MS if sent_at_ms is None else sent_at_ms
-            # Who knows nothing of the store yet may not know of a change either.
-            if beat.store_revision > 0 and beat.all_told:
-                view.told_at_ms = max(view.told_at_ms, proven_ms)
-                view.knew_at = beat.store_revision
-        take(beat, view, proven_ms)
-
-    def _find_sent(self, wanted: int) -> float | None:
-        """Return when a heartbeat was sent, None when that is long ago or never."""
-        return self._sent.get(wanted)
+            # A peer that hasn't loaded the store yet may not know of a primary change.
+            if beat.store_revision > 0 and beat.has_all_records:
+                view.heard_up_to_ms = max(view.heard_up_to_ms, proven_ms)
+                view.known_revision = beat.store_revision
+        handle(beat, view, proven_ms)
+
+    def _find_sent(self, number: int) -> float | None:
+        """Return when a heartbeat was sent, or None if never or too long ago."""
+        return self._sent.get(number)
 
     def close(self) -> None:
         """Close the socket."""
--- a/bronzerelay/pooler/members.py
+++ b/bronzerelay/pooler/members.py
@@ -1,4 +1,4 @@
-"""Who the other daemons are: a list in the platform's store that each joins itself."""
+"""The member list in the platform's store, to which each daemon adds itself."""
 
 from typing import NamedTuple
 
@@ -12,17 +12,17 @@
 from bronzerelay.runtime import Runtime, parse_address
 
 MEMBER_PREFIX = "bronzerelay/members/"
-# Time between two looks whether this daemon is on the list, in milliseconds.
-JOIN_RETRY_MS = 300
-# A member that nobody here has heard of for this long is taken off the list, in
-# milliseconds. One that lives on puts itself back. While it is listed a change of
-# primary may wait for it, and its part of each rate is set aside for it; off the list
-# its part is spent by others, so that it must have stopped before (CUT_OFF_MS).
-GONE_MEMBER_MS = 5_000
+# The interval of checks that this daemon is on the list, in milliseconds.
+JOIN_CHECK_MS = 300
+# A member that hasn't been heard for this long is removed from the list, in
+# milliseconds; if it still runs, it adds itself again. While it is listed, primary
+# changes may wait for it and its share of each rate is reserved. Once it is removed,
+# others spend its share, so it must have stopped admitting before (ISOLATED_AFTER_MS).
+MEMBER_TIMEOUT_MS = 5_000
 
 
 class Member(NamedTuple):
-    """A daemon as the list has it, with its address for peers as HOST:PORT."""
+    """A daemon's entry in the list, with its address for peers as HOST:PORT."""
 
     name: str
     address: str
@@ -31,7 +31,7 @@
 
 
 class Members:
-    """The list of members, as this daemon knows and keeps it."""
+    """Reads the member list and maintains it for this daemon."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self._gossip = gossip
         self._log = log
         self._others: dict[str, Peer] = {}
-        # The store's revision when the list last changed here.
-        self._changed_at = 0
+        # The store revision at which the list last changed here.
+        self._changed_revision = 0
         self.is_stopping = False
 
     def list_names(self) -> list[str]:
@@ -58,7 +58,7 @@
         return [self._own.name, *self._others]
 
     def list_serving(self) -> list[str]:
-        """Return the names of the other members that didn't say they were stopping."""
+        """Return the names of the other members that haven't announced a stop."""
         views = self._gossip.views
         return [
             name
@@ -66,28 +66,29 @@
             if not (name in views and views[name].stopping)
         ]
 
-    def is_quorum(self, known: set[str]) -> bool:
-        """Return whether no other daemons than `known` can be most of all members.
+    def is_quorum(self, members: set[str]) -> bool:
+        """Return whether the daemons outside `members` can't be a majority.
 
-        Exactly half of them are enough while the others have the same list: most of
-        it can't be found without one of `known`. With a list from before somebody
-        joined, or was removed, they could still be most of theirs.
+        Exactly half of all members are enough while the others have the same list: no
+        majority of it is without one of `members`. With a list from before a member
+        joined or was removed, the others could still be a majority of that list.
         """
         names = self.list_names()
-        if len(known) * 2 != len(names):
-            return len(known) * 2 > len(names)
-        joined_at = max(item.revision for item in self._list_items())
-        changed_at = max(joined_at, self._changed_at)
+        if len(members) * 2 != len(names):
+            return len(members) * 2 > len(names)
+        joined_revision = max(item.revision for item in self._list_items())
+        changed_revision = max(joined_revision, self._changed_revision)
         views = self._gossip.views
-        others = [views.get(name) for name in names if name not in known]
+        others = [views.get(name) for name in names if name not in members]
         return all(
-            view is not None and view.store_revision >= changed_at for view in others
+            view is not None and view.store_revision >= changed_revision
+            for view in others
         )
 
-    # The own entry
+    # This daemon's entry
 
     def join(self) -> None:
-        """Put this daemon on the list, and keep it there, until the runtime stops."""
+        """Add this daemon to the list, and add it again if removed, until the stop."""
         key = MEMBER_PREFIX + self._own.name
         data = msgspec.json.encode(self._own)
         while not self._runtime.stopping:
@@ -95,26 +96,30 @@
                 known = self._mirror.get(key)
                 if known is None or known.data != data:
                     self._put(key, data, known)
-            self._runtime.sleep_ms(JOIN_RETRY_MS)
+            self._runtime.sleep_ms(JOIN_CHECK_MS)
 
     def _put(self, key: str, data: bytes, known: Item | None) -> None:
         revision = known.revision if known else 0
         try:
             self._mirror.compare_and_swap({key: revision}, {key: data}, [])
         except StoreError as error:
-            # The watch shows what became of it; it is tried again if need be.
-            self._log.write("members", "Joining failed.", error=str(error))
-        self._runtime.sleep_ms(JOIN_RETRY_MS)
+            # The watch shows whether it took effect; if not, it is tried again.
+            self._log.write(
+                "members",
+                "This daemon couldn't add itself to the member list.",
+                error=str(error),
+            )
+        self._runtime.sleep_ms(JOIN_CHECK_MS)
 
     # The others
 
     def update(self) -> dict[str, Peer] | None:
-        """Read the list; return the others when they changed, else None."""
+        """Read the list; return the other members if they changed, else None."""
         others = self._read()
         if others == self._others:
             return None
-        self._changed_at = self._mirror.revision
-        self._log.write("members", "The members changed.", members=sorted(others))
+        self._changed_revision = self._mirror.revision
+        self._log.write("members", "The member list changed.", members=sorted(others))
         self._others = others
         return others
 
@@ -127,7 +132,10 @@
                 others[member.name] = Peer(address, member.domain)
             except (msgspec.DecodeError, ValueError) as error:
                 self._log.write(
-                    "members", "A member can't be read.", key=item.key, error=str(error)
+                    "members",
+                    "A member's entry can't be read.",
+                    key=item.key,
+                    error=str(error),
                 )
         others.pop(self._own.name, None)
         return others
@@ -135,38 +143,39 @@
     def _list_items(self) -> list[Item]:
         return self._mirror.list_prefix(MEMBER_PREFIX)
 
-    def _hears_most(self) -> bool:
-        """Return whether most members were just heard of and know the list as it is.
+    def _hears_majority(self) -> bool:
+        """Return whether most members were heard lately and know the current list.
 
-        Most of a list and most of the list before it have a member in common. Without
-        one, the others could still be most of a list that they know, and use a primary
-        that this side replaces.
+        Majorities of two lists that differ by one member have a member in common. If
+        lists differed more, the others could be a majority of the list that they know,
+        and use a primary that this side replaces.
         """
         oldest_ms = self._clock.now_ms() - LEASE_MS
         heard = [
             view
             for view in self._gossip.views.values()
-            if view.told_at_ms >= oldest_ms and view.knew_at >= self._changed_at
+            if view.heard_up_to_ms >= oldest_ms
+            and view.known_revision >= self._changed_revision
         ]
         return (1 + len(heard)) * 2 > len(self.list_names())
 
     def remove_silent(self) -> None:
-        """Take one member off the list that is addressed and silent for very long."""
-        oldest_ms = self._clock.now_ms() - GONE_MEMBER_MS
+        """Remove from the list one contact that has been silent for too long."""
+        oldest_ms = self._clock.now_ms() - MEMBER_TIMEOUT_MS
         views = {
             name: view
             for name, view in self._gossip.views.items()
-            if view.addressed_since_ms is not None
+            if view.contact_since_ms is not None
         }
-        gone = [
+        silent = [
             name
             for name, view in views.items()
-            if max(view.received_at_ms, view.listed_at_ms, view.addressed_since_ms)
+            if max(view.received_at_ms, view.listed_at_ms, view.contact_since_ms)
             < oldest_ms
         ]
-        if not gone or not self._hears_most():
+        if not silent or not self._hears_majority():
             return
-        name = gone[0]
+        name = silent[0]
         views[name].listed_at_ms = self._clock.now_ms()
         item = self._mirror.get(MEMBER_PREFIX + name)
         if item is None:
@@ -175,4 +184,9 @@
             self._mirror.compare_and_swap({item.key: item.revision}, {}, [item.key])
             self._log.write("members", "A silent member was removed.", peer=name)
         except StoreError as error:
-            self._log.write("members", "Removing failed.", peer=name, error=str(error))
+            self._log.write(
+                "members",
+                "A silent member couldn't be removed.",
+                peer=name,
+                error=str(error),
+            )
--- a/bronzerelay/pooler/mirror.py
+++ b/bronzerelay/pooler/mirror.py
@@ -1,8 +1,8 @@
-"""A mirror of the platform's store: loaded once, then kept by a watch or from a relay.
+"""A mirror of the platform's store, loaded once and updated by a watch or a relay.
 
-Who watches, watches everything, so that each change costs each of them one call. In a
-large fleet only relays do, and the daemons behind them fetch from them what is new. A
-daemon that the store turns away, or whose watch fell silent, takes the mirror of a peer
+A watch covers all keys, so each update costs each watching daemon one call. In a large
+fleet only relays watch, and the daemons behind them fetch updates from the relays. A
+daemon that the store refuses, or whose watch has stalled, fetches the mirror of a peer
 that is ahead of it.
 """
 
@@ -15,33 +15,33 @@
 from bronzerelay.pooler.events import EventLog
 from bronzerelay.runtime import Address, Runtime
 
-# How long a watch may wait at the store, in milliseconds. What a lost watch misses is
-# found by polls, so that it may be long and calls few.
+# How long a watch may wait at the store, in milliseconds. Updates that a lost watch
+# misses are found by polls, so the wait may be long and calls few.
 WATCH_WAIT_MS = 14_000
-# How long it waits while the store has to show that nothing has changed.
+# How long it waits, in milliseconds, while primary proofs must come from the store.
 PROOF_WAIT_MS = 350
-# The pause after a watch that brought changes, in milliseconds. All daemons come and
-# their instances change in bursts, and each change by itself costs each daemon a call;
-# what must be known sooner travels in heartbeats.
+# The pause after a watch that brought updates, in milliseconds. Daemons join and
+# instances change in bursts, and each separate update would cost each daemon a call.
+# Urgent updates travel in heartbeats.
 BATCH_PAUSE_MS = 120
-# The time that any other call may take, in milliseconds.
+# The timeout of any other call, in milliseconds.
 CALL_TIMEOUT_MS = 1_500
-# How long the store or a peer may be ahead of this mirror before something is done, in
-# milliseconds: a watch that works brings the change within a few.
+# How long the store or a peer may be ahead before this mirror catches up otherwise, in
+# milliseconds: a working watch brings updates within a few.
 BEHIND_MS = 400
-# How long a daemon behind a relay waits for news before it looks again whether it
-# should still go by the relay, in milliseconds.
+# How long a daemon behind a relay waits for updates before it checks again whether it
+# should still follow the relay, in milliseconds.
 FOLLOW_WAIT_MS = 300
-# How long a daemon goes by the store itself after a relay gave it nothing, in
-# milliseconds: a relay may be heard of and its link be too narrow for a mirror.
-DISTRUST_MS = 5_000
-# The compression level of a mirror for a peer, 1 (fastest) to 9.
+# How long a daemon watches the store itself after a relay failed to give it updates, in
+# milliseconds: a relay's heartbeats may arrive while its link is too slow for a mirror.
+AVOID_RELAY_MS = 5_000
+# The zlib level of a mirror for a peer, 1 (fastest) to 9.
 COMPRESSION = 1
-# The largest mirror that is taken from a peer, in bytes.
+# The largest mirror that is accepted from a peer, in bytes after decompression.
 MAX_MIRROR_BYTES = 64 * 1024 * 1024
-# Removed keys that are remembered, to tell a peer what has changed since a revision.
-REMOVED_LIMIT = 1_000
-# Pauses after failed calls, in milliseconds: short at first, since most outages are.
+# The most removed keys that are kept, to send a peer the updates since a revision.
+MAX_REMOVED_KEYS = 1_000
+# Backoff after failed calls, in milliseconds: short at first, as most outages are.
 RETRY_PAUSES_MS = (100, 200, 400, 700)
 NEVER_MS = -1e15
 
@@ -55,14 +55,14 @@
 
 
 class StoreItems(NamedTuple):
-    """Items as they are or have become, and the store's revision then."""
+    """Items of the store, whole or updated ones, and its revision at that time."""
 
     items: list[Item]
     revision: int
 
 
 class StoreError(Exception):
-    """The store gave no answer, or refused; `may_have_run` when that is unknown."""
+    """A call of the store failed; it may have taken effect if `may_have_run`."""
 
     def __init__(self, message: str, may_have_run: bool = False):
         super().__init__(message)
@@ -70,24 +70,24 @@
 
 
 class HistoryLostError(StoreError):
-    """The store has forgotten what came after the revision that was asked for."""
+    """The store no longer has the history since the requested revision."""
 
 
 class ConflictError(StoreError):
-    """A key was not at the revision that the change was for; nothing was done."""
+    """A key wasn't at the expected revision; the store was not changed."""
 
 
 class Store(Protocol):
-    """The platform's store, as its adapter offers it."""
+    """The interface to the platform's store, which its adapter implements."""
 
     def load(self, prefix: str, timeout_ms: float) -> StoreItems:
         """Return all items whose key starts with `prefix`, or raise StoreError."""
 
     def watch(self, prefix: str, after: int, wait_ms: float) -> StoreItems:
-        """Return what changed after a revision, waiting for it at most `wait_ms`."""
+        """Return the updates after a revision, waiting up to `wait_ms` for one."""
 
     def read_revision(self, timeout_ms: float) -> int:
-        """Return the revision that the store is at now, or raise StoreError."""
+        """Return the store's current revision, or raise StoreError."""
 
     def compare_and_swap(
         self,
@@ -96,113 +96,116 @@
         removed: list[str],
         timeout_ms: float,
     ) -> int:
-        """Change keys if all expected revisions hold; return the new revision."""
+        """Put and remove keys if the expected revisions hold; return the new one."""
 
     def interrupt(self) -> None:
-        """Break off the watch that waits now."""
+        """Interrupt the watch that is waiting now."""
 
 
-# Takes a changed item.
-TakeItem = Callable[[Item], None]
+# Called with each item that was put or removed.
+HandleItem = Callable[[Item], None]
 
 
 class PeerMirror(NamedTuple):
-    """A mirror as it travels between daemons: whole, or what changed after `since`.
+    """A mirror as sent between daemons: whole, or the updates after `since`.
 
     A key without data was removed at its revision.
     """
 
-    at: int
+    revision: int
     items: list[tuple[str, bytes | None, int]]
     since: int = 0
 
 
-class Told(NamedTuple):
-    """A revision that a relay knows, and where the relay is."""
+class RelayRevision(NamedTuple):
+    """The store revision of a relay, and its address."""
 
-    at: int
+    revision: int
     address: Address | None
 
 
 class Packed(NamedTuple):
-    """A mirror for a peer, with the revisions that it is from and up to."""
+    """An encoded mirror for a peer, with the revisions that it begins and ends at."""
 
     since: int
-    at: int
+    revision: int
     data: bytes
 
 
 class Mirror:
-    """The items of the store as this daemon knows them."""
+    """Keeps a copy of the items of the store."""
 
-    def __init__(self, runtime: Runtime, store: Store, take: TakeItem, log: EventLog):
+    def __init__(
+        self, runtime: Runtime, store: Store, handle_item: HandleItem, log: EventLog
+    ):
         self._runtime = runtime
         self._clock = runtime.clock
         self._store = store
-        self._take = take
+        self._handle_item = handle_item
         self._log = log
         self._lock = runtime.make_lock()
         self._items: dict[str, Item] = {}
-        # The revisions at which keys were removed, all of those after `_removed_from`.
+        # The revisions at which keys were removed, complete after `_removed_from`.
         self._removed: dict[str, int] = {}
         self._removed_from = 0
         self._condition = runtime.make_condition()
-        # The newest revision that a relay has told of, and which one it was.
-        self._told = Told(0, None)
-        self._distrust_until_ms = 0.0
-        # The last answer to a peer, with the revisions that it is from and up to.
+        # The newest revision that a relay has announced.
+        self._relay = RelayRevision(0, None)
+        self._avoid_relay_until_ms = 0.0
+        # The last mirror encoded for a peer.
         self._packed = Packed(0, 0, b"")
         self._failures = 0
-        # All changes of the store up to then are known here.
-        self._known_ms = NEVER_MS
+        # All updates of the store up to this time are known here.
+        self._current_as_of_ms = NEVER_MS
         self.revision = 0
         self.loaded = False
-        # Asks for a sign of life of the store more often than changes alone bring.
+        # Whether primary proofs must come from the store.
         self.wants_proof: Callable[[], bool] = lambda: False
-        # Takes the moment up to which all changes are known.
+        # Called with the time up to which all updates are known.
         self.on_proof: Callable[[float], None] = lambda _: None
-        # Whether this daemon goes by a relay instead of watching the store.
+        # Whether this daemon follows a relay instead of watching the store.
         self.follows_relay: Callable[[], bool] = lambda: False
-        # Fetches from a peer what is new; returns whether it gave an answer.
+        # Fetches updates from a peer; returns whether it answered.
         self.fetch: Callable[[Address], bool] = lambda _: False
-        # Is told that something has changed here.
+        # Called when the mirror has reached a newer revision.
         self.on_change: Callable[[], None] = lambda: None
-        self._hurried = False
+        # Whether the watch was interrupted on purpose, so that its end is no failure.
+        self._interrupted = False
         self._waits_long = False
-        # Whether the last watch brought nothing though the store had more.
-        self._held_back = False
+        # Whether the last watch was empty although the store had updates.
+        self._missed_update = False
 
     def get(self, key: str) -> Item | None:
-        """Return a key as it is known, or None."""
+        """Return the item of a key, or None if it isn't known."""
         return self._items.get(key)
 
     def store_age_ms(self) -> float:
-        """Return how long ago all changes of the store were known here."""
-        return self._clock.now_ms() - self._known_ms
+        """Return the time since this mirror was last known to be current."""
+        return self._clock.now_ms() - self._current_as_of_ms
 
-    def note_known(self, at: int, known_ms: float) -> bool:
-        """Note that all changes up to a moment have revisions up to `at`.
+    def confirm_current(self, revision: int, as_of_ms: float) -> bool:
+        """Note that all updates up to `as_of_ms` have revisions up to `revision`.
 
-        Return whether this mirror has reached it; else nothing is noted.
+        Return whether this mirror has reached that revision; if not, do nothing.
         """
-        if at > self.revision:
+        if revision > self.revision:
             return False
-        self._known_ms = max(self._known_ms, known_ms)
-        self.on_proof(known_ms)
+        self._current_as_of_ms = max(self._current_as_of_ms, as_of_ms)
+        self.on_proof(as_of_ms)
         return True
 
     def list_prefix(self, prefix: str) -> list[Item]:
         """Return the known items whose keys start with `prefix`."""
         return [item for key, item in self._items.items() if key.startswith(prefix)]
 
-    # Taking changes in
+    # Applying updates
 
-    def _apply(self, changes: StoreItems) -> None:
+    def _apply(self, update: StoreItems) -> None:
         before = self.revision
         with self._lock:
-            for item in changes.items:
+            for item in update.items:
                 self._apply_item(item)
-            self.revision = max(self.revision, changes.revision)
+            self.revision = max(self.revision, update.revision)
         if self.revision > before:
             self.on_change()
 
@@ -216,32 +219,33 @@
         else:
             self._items[item.key] = item
             self._removed.pop(item.key, None)
-        self._take(item)
+        self._handle_item(item)
 
     def _remember_removed(self, item: Item) -> None:
         self._removed.pop(item.key, None)
         self._removed[item.key] = item.revision
-        while len(self._removed) > REMOVED_LIMIT:
+        while len(self._removed) > MAX_REMOVED_KEYS:
             oldest = next(iter(self._removed))
             self._removed_from = max(self._removed_from, self._removed.pop(oldest))
 
-    def _replace(self, items: Iterable[Item], at: int) -> None:
-        """Take over a whole state; keys that it lacks count as removed."""
+    def _replace(self, items: Iterable[Item], revision: int) -> None:
+        """Replace all items; keys that are missing count as removed."""
         with self._lock:
-            if at < self.revision:
+            if revision < self.revision:
                 return
             present = set()
             for item in items:
                 present.add(item.key)
                 self._apply_item(item)
             for key in set(self._items) - present:
-                # Pages are no snapshot: a key put in between is newer than they are.
-                if self._items[key].revision <= at:
-                    self._apply_item(Item(key, None, at + 1))
-            self.revision = at
+                # The pages of a load are no snapshot: a key that was put in between is
+                # newer than `revision` and not missing.
+                if self._items[key].revision <= revision:
+                    self._apply_item(Item(key, None, revision + 1))
+            self.revision = revision
             self.loaded = True
-            # At which revisions the missing keys were removed isn't known.
-            self._removed_from = at
+            # The revisions at which the missing keys were removed aren't known.
+            self._removed_from = revision
         self.on_change()
 
     # Following the store
@@ -253,8 +257,8 @@
             sent_at_ms = self._clock.now_ms()
             try:
                 if not loaded:
-                    changes = self._store.load("", CALL_TIMEOUT_MS)
-                    self._replace(changes.items, changes.revision)
+                    snapshot = self._store.load("", CALL_TIMEOUT_MS)
+                    self._replace(snapshot.items, snapshot.revision)
                     loaded = True
                 elif self._should_follow():
                     self._follow()
@@ -263,7 +267,11 @@
                     self._watch()
                     continue
             except HistoryLostError as error:
-                self._log.write("store", "The history is lost.", error=str(error))
+                self._log.write(
+                    "store",
+                    "The store's history is lost; loading again.",
+                    error=str(error),
+                )
                 loaded = False
                 continue
             except StoreError as error:
@@ -277,89 +285,91 @@
         self._waits_long = not wants_proof
         wait_ms = PROOF_WAIT_MS if wants_proof else WATCH_WAIT_MS
         try:
-            changes = self._store.watch("", self.revision, wait_ms)
-            self._apply(changes)
+            update = self._store.watch("", self.revision, wait_ms)
+            self._apply(update)
         finally:
             self._waits_long = False
-        if not changes.items:
-            self._note_life()
+        if not update.items:
+            self._note_success()
             if wants_proof:
-                self._confirm()
+                self._confirm_empty_watch()
             return
-        self._held_back = False
+        self._missed_update = False
         self._note_answer(sent_at_ms)
         if not wants_proof:
             self._runtime.sleep_ms(BATCH_PAUSE_MS)
 
-    def _confirm(self) -> None:
-        """Ask the store whether a watch that brought nothing had nothing to bring.
+    def _confirm_empty_watch(self) -> None:
+        """Check by a poll that the store has no updates after an empty watch.
 
-        Before the store drops its history its watches may hear of no change for a
-        while. Taken for a proof, such a watch would let a primary be used that has been
+        Before the store drops its history, its watches may miss updates for a while. If
+        such an empty watch counted as a proof, a primary could be used that has been
         replaced.
         """
         sent_at_ms = self._clock.now_ms()
-        at = self._store.read_revision(CALL_TIMEOUT_MS)
-        if self.note_known(at, sent_at_ms):
-            self._held_back = False
+        revision = self._store.read_revision(CALL_TIMEOUT_MS)
+        if self.confirm_current(revision, sent_at_ms):
+            self._missed_update = False
             return
-        # What changed just now comes with the next watch.
-        if self._held_back:
-            self._held_back = False
-            raise HistoryLostError("a watch brings nothing of what the store has")
-        self._held_back = True
+        # An update that was made just now comes with the next watch.
+        if self._missed_update:
+            self._missed_update = False
+            raise HistoryLostError("watches miss updates that the store has")
+        self._missed_update = True
 
     # Following a relay
 
-    def note_told(self, at: int, address: Address) -> None:
-        """Note that a relay at an address knows all changes up to a revision."""
+    def update_relay_revision(self, revision: int, address: Address) -> None:
+        """Note that the relay at an address has all updates up to a revision."""
         with self._condition:
-            if at > self._told.at:
-                self._told = Told(at, address)
+            if revision > self._relay.revision:
+                self._relay = RelayRevision(revision, address)
                 self._condition.notify()
 
     def _should_follow(self) -> bool:
         return (
-            self._clock.now_ms() >= self._distrust_until_ms
+            self._clock.now_ms() >= self._avoid_relay_until_ms
             and self.follows_relay()
             and not self.wants_proof()
         )
 
     def _follow(self) -> None:
-        """Wait for news from a relay, and fetch them."""
+        """Wait until a relay announces updates, and fetch them."""
         with self._condition:
             self._runtime.wait_for(
                 self._condition,
-                lambda: self._told.at > self.revision or not self._should_follow(),
+                lambda: (
+                    self._relay.revision > self.revision or not self._should_follow()
+                ),
                 FOLLOW_WAIT_MS,
             )
-            told = self._told
-        if told.address is None or told.at <= self.revision:
+            relay = self._relay
+        if relay.address is None or relay.revision <= self.revision:
             return
-        if not self.fetch(told.address):
-            self._distrust_until_ms = self._clock.now_ms() + DISTRUST_MS
+        if not self.fetch(relay.address):
+            self._avoid_relay_until_ms = self._clock.now_ms() + AVOID_RELAY_MS
             with self._condition:
-                self._told = Told(self.revision, None)
+                self._relay = RelayRevision(self.revision, None)
 
-    def renew(self) -> None:
-        """Ask the store anew for what the watch, or a relay, should have brought."""
+    def restart_watch(self) -> None:
+        """Watch the store anew for updates that the watch or a relay missed."""
         with self._condition:
-            self._distrust_until_ms = self._clock.now_ms() + DISTRUST_MS
+            self._avoid_relay_until_ms = self._clock.now_ms() + AVOID_RELAY_MS
             self._condition.notify()
-        self._hurried = True
+        self._interrupted = True
         self._store.interrupt()
 
     def interrupt_long_watch(self) -> None:
-        """Break off a long watch when the store has to show that nothing changed."""
+        """Interrupt a long watch once primary proofs must come from the store."""
         if self._waits_long and self.wants_proof():
-            self._hurried = True
+            self._interrupted = True
             self._store.interrupt()
 
     def _note_answer(self, sent_at_ms: float) -> None:
-        self._note_life()
-        self.note_known(self.revision, sent_at_ms)
+        self._note_success()
+        self.confirm_current(self.revision, sent_at_ms)
 
-    def _note_life(self) -> None:
+    def _note_success(self) -> None:
         if self._failures:
             self._log.write(
                 "store",
@@ -371,14 +381,14 @@
         self._failures = 0
 
     def _note_failure(self, error: StoreError, sent_at_ms: float) -> None:
-        hurried, self._hurried = self._hurried, False
-        if self._runtime.stopping or hurried:
+        interrupted, self._interrupted = self._interrupted, False
+        if self._runtime.stopping or interrupted:
             return
         self._failures += 1
         if self._failures == 1:
             self._log.write(
                 "store",
-                "The store gives no answer.",
+                "The store doesn't answer.",
                 error=str(error),
                 waited_ms=round(self._clock.now_ms() - sent_at_ms),
                 age_ms=round(self.store_age_ms()),
@@ -391,7 +401,7 @@
     # Between daemons
 
     def pack(self, after: int = 0) -> bytes:
-        """Return for a peer what changed after a revision, or all when that is old."""
+        """Encode for a peer the updates after a revision, or all items if it is old."""
         with self._lock:
             since = after if after >= self._removed_from and after > 0 else 0
             if self._packed[:2] == (since, self.revision):
@@ -409,40 +419,40 @@
                 ]
             encoded = msgspec.msgpack.encode(PeerMirror(self.revision, items, since))
             data = zlib.compress(encoded, COMPRESSION)
-            # All daemons behind a relay ask for the same after a change.
+            # Kept, because after an update all daemons behind a relay fetch the same.
             self._packed = Packed(since, self.revision, data)
             return data
 
     def unpack(self, data: bytes, source: str) -> None:
-        """Take over a peer's mirror if it is ahead; raise ValueError on nonsense."""
+        """Apply a peer's mirror if it is ahead; raise ValueError if it is malformed."""
         try:
             encoded = zlib.decompressobj().decompress(data, MAX_MIRROR_BYTES)
             packed = msgspec.msgpack.decode(encoded, type=PeerMirror)
         except (zlib.error, msgspec.DecodeError) as error:
             raise ValueError(f"the mirror of {source} can't be read: {error}") from None
-        if packed.at <= self.revision:
+        if packed.revision <= self.revision:
             return
         before = self.revision
         items = [Item(key, value, revision) for key, value, revision in packed.items]
         if packed.since == 0:
-            self._replace(items, packed.at)
+            self._replace(items, packed.revision)
         elif packed.since <= before:
-            self._apply(StoreItems(items, packed.at))
+            self._apply(StoreItems(items, packed.revision))
         self._log.write(
             "store",
-            "A peer's mirror was taken over.",
+            "A peer's mirror was applied.",
             peer=source,
-            at=packed.at,
+            at=packed.revision,
             before=before,
         )
 
     def compare_and_swap(
         self, expected: dict[str, int], puts: dict[str, bytes], removed: list[str]
     ) -> int:
-        """Change keys of the store; raise StoreError or ConflictError."""
+        """Put and remove keys of the store; raise StoreError or ConflictError."""
         return self._store.compare_and_swap(expected, puts, removed, CALL_TIMEOUT_MS)
 
     def read(self, key: str) -> Item | None:
-        """Return a key as the store has it now, or raise StoreError."""
-        found = self._store.load(key, CALL_TIMEOUT_MS)
-        return next((item for item in found.items if item.key == key), None)
+        """Return the item of a key from the store itself, or raise StoreError."""
+        loaded = self._store.load(key, CALL_TIMEOUT_MS)
+        return next((item for item in loaded.items if item.key == key), None)
--- a/bronzerelay/pooler/primarychanges.py
+++ b/bronzerelay/pooler/primarychanges.py
@@ -1,9 +1,10 @@
-"""Changes of primary: when one is due, who makes it, and its steps.
+"""Primary changes: when one is due, which daemon carries it out, and its steps.
 
-One daemon at a time makes a change. It takes the duty by a compare-and-swap on the
-service's record in the platform's store, which also gives the fencing token. The steps:
-write that a change is under way; wait until nobody can use the old primary; choose the
-replica that has received most; let the platform promote it; write who leads.
+One daemon at a time, the lock holder, carries out the change of a service's primary. It
+takes the lock by a compare-and-swap on the service's record in the platform's store;
+the record's epoch is the fencing token. The steps: record that a change is under way;
+wait until no daemon can use the old primary; choose the replica whose log is longest;
+have the platform promote it; record the new primary.
 """
 
 import enum
@@ -24,47 +25,51 @@
 from bronzerelay.runtime import Runtime, TaskLimitError
 
 PRIMARY_RECORD_PREFIX = "bronzerelay/leads/"
-# A primary that answered nobody for this long is taken for dead, in milliseconds. What
-# peers see of it is up to two heartbeats old; a slow statement takes less.
+# A primary that has answered no daemon for this long counts as dead, in milliseconds.
+# What peers report of it is up to two heartbeats old; a slow statement takes less.
 DEAD_AFTER_MS = 1_000
-# Failures that this daemon and its peers must have seen of it. Each daemon of many has
-# little traffic of its own, and the one that has to act may have had none.
+# Failed requests to the primary that this daemon and its peers must have seen in total.
+# In a large fleet each daemon has little traffic, and the one that has to act may have
+# sent the primary nothing.
 DEAD_FAILURES = 2
-# A service without any primary gets one after this time, in milliseconds: entries come
-# one by one, and that of the primary may be the last.
-LEADERLESS_MS = 1_500
+# A service without a primary gets one after this time, in milliseconds: the entries of
+# its instances arrive one by one, and the primary's may be the last.
+NO_PRIMARY_MS = 1_500
 # Each daemon further down the ranking waits this much longer, in milliseconds, so that
-# one is usually done before the next one begins.
+# one has usually finished before the next one starts.
 STAGGER_MS = 500
-# The holder goes by its last write to the record for this long, in milliseconds. After
-# that it proves anew that nobody has taken the duty over, as it may have been frozen.
-HOLD_MS = 900
-# A change whose record hasn't moved for this long is taken over, in milliseconds: what
-# the holder goes by, and its longest call to the platform.
+# For this long after its last write to the record the lock holder assumes that it still
+# holds the lock, in milliseconds. After that it writes again to make sure, because its
+# process may have been frozen and the lock taken over.
+LOCK_RECHECK_MS = 900
+# A change whose record hasn't been written for this long is taken over, in
+# milliseconds. It covers LOCK_RECHECK_MS and the lock holder's longest call to the
+# platform.
 TAKEOVER_MS = 2_600
-# How long a change that was planned waits for a replica to catch up, in milliseconds.
+# How long a switchover waits for the replica to catch up, in milliseconds.
 CATCH_UP_MS = 1_500
-# How long the promoted instance may take to lead, in milliseconds; after that it is
-# chosen again.
-PROMOTE_MS = 2_000
-# A planned change begins once a replica lacks no more than this many entries of the
-# log: while it catches up with the rest nobody can write, and it takes milliseconds.
-CLOSE_ENTRIES = 20
-# A change that had to wait this long for daemons looks once more whether the primary is
-# dead, in milliseconds: it is what a cut takes that heals, not what a crash takes.
+# How long the promoted instance may take to become primary, in milliseconds; after that
+# an instance is chosen again.
+BECOME_PRIMARY_MS = 2_000
+# A switchover starts once a replica lacks no more than this many log entries. Callers
+# can't write while it receives the rest, which takes milliseconds.
+MAX_LAG_ENTRIES = 20
+# A failover that had to wait this long for other daemons checks once more whether the
+# primary is dead, in milliseconds. A wait this long points to a network partition that
+# has healed, not to a crash.
 LONG_WAIT_MS = 2 * LEASE_MS
-# How long the entry of an instance that was cut off may take to be listed again, in
-# milliseconds: the platform promises about two seconds.
-RELISTED_MS = 2_500
+# How long an instance that was partitioned from the store may take to be listed again,
+# in milliseconds: the platform promises about two seconds.
+RELISTING_MS = 2_500
 STATUS_TIMEOUT_MS = 400
 POLL_MS = 40
 PROMOTE_TIMEOUT_MS = 900
-TRIES = 8
+MAX_TRIES = 8
 RETRY_MS = 250
 
 
 class Promotion(enum.Enum):
-    """What the platform made of an order to promote."""
+    """The platform's answer to a request to promote an instance."""
 
     DONE = enum.auto()
     NOT_RUNNING = enum.auto()
@@ -77,19 +82,20 @@
     def __call__(
         self, service: str, instance: str, holder: str, epoch: int, timeout_ms: float
     ) -> Promotion:
-        """Order the promotion; the holder and the epoch fence it."""
+        """Request the promotion, fenced by the lock holder's name and the epoch."""
 
 
 class FleetView(NamedTuple):
-    """What a change needs to know of the other daemons."""
+    """What a primary change needs to know of the other daemons."""
 
-    # All members, this daemon included.
+    # The names of all members, including this daemon.
     names: Callable[[], list[str]]
-    # The members that know of a change and have nothing under way at the old primary.
+    # The members that know of a change and have no statement in progress at the old
+    # primary, by service and epoch.
     acknowledged: Callable[[str, int], set[str]]
-    # Whether no other members than these can prove to each other that a primary leads.
+    # Whether the members outside this set can't give each other a valid primary proof.
     is_quorum: Callable[[set[str]], bool]
-    # Since when an instance has given no answer to each of the peers that miss one.
+    # For each peer that an instance doesn't answer, since when.
     silent_since_ms: Callable[[str], list[float]]
 
 
@@ -97,7 +103,7 @@
 
 
 class PrimaryChangeCoordinator:
-    """Looks after the primaries of all services, for one daemon."""
+    """Detects when a service needs another primary, and starts the change."""
 
     def __init__(
         self,
@@ -127,15 +133,15 @@
         self._log = log
         self._lock = runtime.make_lock()
         self._busy: set[str] = set()
-        # Since when a change of a service has looked due, and why.
+        # By service, why a change looks due, and since when.
         self._due: dict[str, tuple[str, float]] = {}
-        # The record last seen of a service, at which revision, and since when.
+        # By service, the record last seen, its store revision, and since when.
         self._seen: dict[str, tuple[PrimaryRecord, int, float]] = {}
 
     # When a change is due
 
     def start_due_changes(self) -> None:
-        """Look at all services, and start the changes that are due here."""
+        """Check all services and start the changes that are due at this daemon."""
         services = {entry.service for entry in self._directory.instances.values()}
         for service in services:
             reason = self._find_reason(service)
@@ -148,21 +154,21 @@
         now_ms = self._clock.now_ms()
         record = self._directory.primary_records.get(service)
         if record is not None and not record.settled:
-            return self._find_takeover(record, now_ms)
-        leader = self._directory.find_primary(service)
-        if leader is None:
+            return self._find_takeover_reason(record, now_ms)
+        primary = self._directory.find_primary(service)
+        if primary is None:
             return "no primary"
-        if leader.leaving:
+        if primary.leaving:
             return "planned"
-        return "dead" if self._looks_dead(leader, now_ms) else None
+        return "dead" if self._looks_dead(primary, now_ms) else None
 
-    def _find_takeover(self, record: PrimaryRecord, now_ms: float) -> str | None:
-        # The process that began it is gone, as this one has its name; nobody has to
-        # wait whether it comes back.
+    def _find_takeover_reason(self, record: PrimaryRecord, now_ms: float) -> str | None:
+        # An earlier process of this daemon started the change. It is gone, since this
+        # process has its name, so there is no need to wait for it.
         if record.holder == self._name and record.service not in self._busy:
             return "restarted"
-        # A holder that waits for long writes the same record again, so that nobody
-        # takes the change over from it.
+        # A lock holder that waits for long writes the same record again, which raises
+        # its store revision, so that no other daemon takes the change over.
         item = self._mirror.get(PRIMARY_RECORD_PREFIX + record.service)
         revision = item.revision if item else 0
         seen = self._seen.get(record.service)
@@ -171,15 +177,15 @@
             return None
         return "stalled" if now_ms - seen[2] > TAKEOVER_MS else None
 
-    def _looks_dead(self, leader: InstanceEntry, now_ms: float) -> bool:
-        """Return whether the primary answers neither this daemon nor any peer."""
-        view = self._placement.view_of(leader.id)
-        since_ms = self._fleet.silent_since_ms(leader.id)
+    def _looks_dead(self, primary: InstanceEntry, now_ms: float) -> bool:
+        """Return whether the primary has answered neither this daemon nor any peer."""
+        view = self._placement.view_of(primary.id)
+        since_ms = self._fleet.silent_since_ms(primary.id)
         since_ms += [view.failing_since_ms] * min(view.failures, DEAD_FAILURES)
         if len(since_ms) < DEAD_FAILURES or now_ms - min(since_ms) < DEAD_AFTER_MS:
             return False
-        # What was missed of it before it led says nothing about the new primary.
-        last_ms = self._placement.positions_of(leader.service).last_seen_ms()
+        # Answers that it failed to give before it became primary don't count.
+        last_ms = self._placement.positions_of(primary.service).last_seen_ms()
         return now_ms - last_ms > DEAD_AFTER_MS
 
     def _is_turn(self, service: str, reason: str) -> bool:
@@ -190,7 +196,7 @@
             since_ms = now_ms
         order = rank(f"lead/{service}", self._fleet.names())
         place = order.index(self._name) if self._name in order else len(order)
-        first_ms = LEADERLESS_MS if reason == "no primary" else 0
+        first_ms = NO_PRIMARY_MS if reason == "no primary" else 0
         return now_ms - since_ms >= first_ms + place * STAGGER_MS
 
     def _start(self, service: str, reason: str) -> None:
@@ -201,121 +207,130 @@
         try:
             self._runtime.start(self._run, service, reason)
         except TaskLimitError as error:
-            # Left among the busy ones, the service would never be looked at again.
+            # If it stayed in `_busy`, the service would never be checked again.
             with self._lock:
                 self._busy.discard(service)
-            self._log.write("changes", "No task for a change.", error=str(error))
+            self._log.write(
+                "changes", "No task is free for a primary change.", error=str(error)
+            )
 
     def _run(self, service: str, reason: str) -> None:
         try:
-            if self._is_replaceable(service, reason):
-                _Change(self, service, reason).make()
+            if self._is_safe_now(service, reason):
+                _PrimaryChange(self, service, reason).run()
         finally:
             with self._lock:
                 self._busy.discard(service)
                 self._due.pop(service, None)
 
-    def _is_replaceable(self, service: str, reason: str) -> bool:
-        """Return whether a change now would lose nothing that can still be kept.
+    def _is_safe_now(self, service: str, reason: str) -> bool:
+        """Return whether a change now wouldn't lose acknowledged writes needlessly.
 
-        A primary that leaves serves on for some seconds, and its log goes on to an
-        instance that comes after it. A replica that lags behind it would be promoted
-        without what was acknowledged meanwhile.
+        A primary that is leaving still serves for some seconds, in which a replica can
+        receive the rest of its log. A replica that is promoted before that lacks the
+        writes that were acknowledged meanwhile.
         """
         if reason not in ("planned", "no primary"):
             return True
-        leaving = [
+        leaving_primaries = [
             entry
             for entry in self._directory.list_instances(service)
             if entry.leaving and entry.claims_primary
         ]
-        ended = [self._ask_status(entry, STATUS_TIMEOUT_MS) for entry in leaving]
-        ends = [status.received for status in ended if status is not None]
-        if not ends:
+        statuses = [
+            self._ask_status(entry, STATUS_TIMEOUT_MS) for entry in leaving_primaries
+        ]
+        log_ends = [status.received for status in statuses if status is not None]
+        if not log_ends:
             return True
-        best = self.find_best(service, frozenset(entry.id for entry in leaving))
+        best = self.find_best(
+            service, frozenset(entry.id for entry in leaving_primaries)
+        )
         if best is None:
             return False
-        end = max(ends)
+        log_end = max(log_ends)
         received = best[1].received
-        behind = end.position - received.position
-        close = received.term == end.term and behind <= CLOSE_ENTRIES
-        if not close:
+        lag = log_end.position - received.position
+        is_close = received.term == log_end.term and lag <= MAX_LAG_ENTRIES
+        if not is_close:
             self._log.write(
                 "changes",
-                "A replica has to catch up before a change.",
+                "A replica has to catch up before a primary change.",
                 service=service,
                 reason=reason,
                 received=received,
-                wanted=end,
+                wanted=log_end,
             )
-        return close or received > end
+        return is_close or received > log_end
 
     def find_best(
-        self, service: str, refused: frozenset[str]
+        self, service: str, excluded: frozenset[str]
     ) -> tuple[InstanceEntry, InstanceStatus] | None:
-        """Return the instance to promote: the one that has received most."""
-        found = []
+        """Return the instance to promote: the one whose log is longest."""
+        candidates = []
         for entry in self._directory.list_instances(service):
-            if entry.leaving or entry.id in refused:
+            if entry.leaving or entry.id in excluded:
                 continue
             status = self._ask_status(entry, STATUS_TIMEOUT_MS)
             if status is not None:
-                found.append((entry, status))
-        return max(found, key=lambda pair: pair[1].received, default=None)
+                candidates.append((entry, status))
+        return max(candidates, key=lambda pair: pair[1].received, default=None)
 
 
-class _LostDutyError(Exception):
-    """Another daemon has the duty now, or nobody can tell."""
+class _ChangeAbandonedError(Exception):
+    """The change can't be completed, or another daemon may hold the lock."""
 
 
-class _Change:
-    """One change of one service's primary, made by this daemon."""
+class _PrimaryChange:
+    """One change of one service's primary, carried out by this daemon."""
 
-    def __init__(self, parts: PrimaryChangeCoordinator, service: str, reason: str):
-        self._parts = parts
-        self._clock = parts._clock
+    def __init__(
+        self, coordinator: PrimaryChangeCoordinator, service: str, reason: str
+    ):
+        self._coordinator = coordinator
+        self._clock = coordinator._clock
         self._service = service
         self._reason = reason
         self._key = PRIMARY_RECORD_PREFIX + service
         self._revision = 0
-        self._proved_ms = 0.0
-        leader = parts._directory.find_primary(service)
-        known = parts._directory.primary_records.get(service)
-        self._old = leader.id if leader else (known.deposed if known else "")
-        # Its entry, which lapses when it is cut off from the store for long.
-        self._old_entry = leader
+        self._lock_verified_ms = 0.0
+        primary = coordinator._directory.find_primary(service)
+        known = coordinator._directory.primary_records.get(service)
+        self._old_id = primary.id if primary else (known.deposed if known else "")
+        # Kept here because the directory drops the entry when the old primary is
+        # partitioned from the store for long.
+        self._old_entry = primary
         epoch = known.epoch if known else 0
         self._record = PrimaryRecord(
             service,
-            known.instance if known else self._old,
+            known.instance if known else self._old_id,
             known.term if known else 0,
             epoch + 1,
-            parts._name,
+            coordinator._name,
             False,
-            self._old,
+            self._old_id,
             reason == "planned",
         )
 
-    def make(self) -> None:
-        """Make the change, or leave it to whoever has the duty."""
+    def run(self) -> None:
+        """Carry out the change, or give up when another daemon holds the lock."""
         started_ms = self._clock.now_ms()
-        self._say("A change of primary begins.", reason=self._reason, old=self._old)
+        self._log("A primary change starts.", reason=self._reason, old=self._old_id)
         try:
-            self._take_duty()
+            self._acquire_lock()
             waited_ms = self._wait_for_daemons()
-            found = self._find_alive(waited_ms)
-            chosen, term = found or self._promote_one()
+            survivor = self._find_surviving_primary(waited_ms)
+            chosen, term = survivor or self._promote_replica()
             self._settle(chosen, term)
-        except (_LostDutyError, StoreError) as error:
-            self._say("A change of primary was given up.", error=str(error))
+        except (_ChangeAbandonedError, StoreError) as error:
+            self._log("A primary change was abandoned.", error=str(error))
             return
-        self._parts._counters.count("primary_changes", reason=self._reason)
+        self._coordinator._counters.count("primary_changes", reason=self._reason)
         took_ms = round(self._clock.now_ms() - started_ms)
-        self._say("A change of primary is done.", instance=chosen.id, took_ms=took_ms)
+        self._log("A primary change is complete.", instance=chosen.id, took_ms=took_ms)
 
-    def _say(self, message: str, **fields: object) -> None:
-        self._parts._log.write(
+    def _log(self, message: str, **fields: object) -> None:
+        self._coordinator._log.write(
             "changes",
             message,
             service=self._service,
@@ -323,18 +338,18 @@
             **fields,
         )
 
-    # The duty
+    # The lock
 
-    def _take_duty(self) -> None:
-        item = self._parts._mirror.get(self._key)
+    def _acquire_lock(self) -> None:
+        item = self._coordinator._mirror.get(self._key)
         self._revision = item.revision if item else 0
         self._write()
 
     def _write(self) -> None:
-        """Write the record if nobody else has since; raise when that is in doubt."""
+        """Write the record if no other daemon has since; raise when that is unknown."""
         sent_at_ms = self._clock.now_ms()
         data = msgspec.json.encode(self._record)
-        mirror = self._parts._mirror
+        mirror = self._coordinator._mirror
         try:
             self._revision = mirror.compare_and_swap(
                 {self._key: self._revision}, {self._key: data}, []
@@ -343,60 +358,71 @@
             if not error.may_have_run:
                 raise
             self._read_back(data, error)
-        self._proved_ms = sent_at_ms
-        self._parts._announce(self._record)
+        self._lock_verified_ms = sent_at_ms
+        self._coordinator._announce(self._record)
 
     def _read_back(self, data: bytes, error: StoreError) -> None:
-        """Find out whether a write whose answer was lost has gone through."""
-        item = self._parts._mirror.read(self._key)
+        """Check that a write whose answer was lost took effect; raise if not."""
+        item = self._coordinator._mirror.read(self._key)
         if item is None or item.data != data:
             raise error
         self._revision = item.revision
 
-    def _prove(self) -> None:
-        """Make sure that the duty is still this daemon's."""
-        if self._clock.now_ms() - self._proved_ms > HOLD_MS:
+    def _verify_lock(self) -> None:
+        """Make sure that this daemon still holds the lock."""
+        if self._clock.now_ms() - self._lock_verified_ms > LOCK_RECHECK_MS:
             self._write()
 
     # The other daemons
 
     def _wait_for_daemons(self) -> float:
-        """Wait until no daemon can still use the old primary; return for how long."""
-        began_ms = self._clock.now_ms()
-        enough_ms = None
+        """Wait until no daemon can use the old primary; return how long that took."""
+        started_ms = self._clock.now_ms()
+        quorum_since_ms = None
         while True:
-            names = set(self._parts._fleet.names())
-            known = self._parts._fleet.acknowledged(self._service, self._record.epoch)
+            names = set(self._coordinator._fleet.names())
+            known = self._coordinator._fleet.acknowledged(
+                self._service, self._record.epoch
+            )
             now_ms = self._clock.now_ms()
             if names <= known:
-                waited_ms = now_ms - began_ms
-                self._say("All daemons know of the change.", waited_ms=round(waited_ms))
+                waited_ms = now_ms - started_ms
+                self._log(
+                    "All daemons have acknowledged the change.",
+                    waited_ms=round(waited_ms),
+                )
                 return waited_ms
-            if not self._parts._fleet.is_quorum(known):
-                # Whoever forgot the change since may have let a lease begin anew.
-                enough_ms = None
-            elif enough_ms is None:
-                enough_ms = now_ms
-            elif now_ms - enough_ms > LEASE_MS + LEASE_MARGIN_MS:
+            if not self._coordinator._fleet.is_quorum(known):
+                # A daemon that restarted has forgotten the change, and may have helped
+                # another one to a new proof, whose lease starts only now.
+                quorum_since_ms = None
+            elif quorum_since_ms is None:
+                quorum_since_ms = now_ms
+            elif now_ms - quorum_since_ms > LEASE_MS + LEASE_MARGIN_MS:
                 missing = sorted(names - known)
-                self._say("Not all daemons were heard of.", missing=missing)
-                return now_ms - began_ms
-            if now_ms - began_ms > 2 * TAKEOVER_MS:
-                raise _LostDutyError("most daemons don't know of the change")
-            self._prove()
+                self._log("Not all daemons acknowledged the change.", missing=missing)
+                return now_ms - started_ms
+            if now_ms - started_ms > 2 * TAKEOVER_MS:
+                raise _ChangeAbandonedError(
+                    "most daemons haven't acknowledged the change"
+                )
+            self._verify_lock()
             self._pause()
 
     def _pause(self) -> None:
-        if not self._parts._runtime.sleep_ms(POLL_MS):
-            raise _LostDutyError("the daemon ends")
+        if not self._coordinator._runtime.sleep_ms(POLL_MS):
+            raise _ChangeAbandonedError("the daemon is stopping")
 
     # The new primary
 
-    def _find_alive(self, waited_ms: float) -> tuple[InstanceEntry, int] | None:
-        """Return the old primary and its term if it lives on, None if it doesn't.
+    def _find_surviving_primary(
+        self, waited_ms: float
+    ) -> tuple[InstanceEntry, int] | None:
+        """Return the old primary and its term if it is still primary, else None.
 
-        While the maker was cut off from most daemons, these may have used the primary
-        all along. Replaced when the cut heals, it would lose what it acknowledged.
+        While this daemon was partitioned from most others, these may have used the
+        primary all the time. Replacing it once the partition heals would lose what it
+        acknowledged meanwhile.
         """
         if self._reason != "dead" or waited_ms < LONG_WAIT_MS:
             return None
@@ -406,40 +432,40 @@
         entry = self._wait_for_entry()
         if entry is None or entry.leaving:
             return None
-        self._say("The primary lives on and stays.", instance=entry.id)
+        self._log("The primary is alive and stays.", instance=entry.id)
         return entry, status.term
 
     def _wait_for_entry(self) -> InstanceEntry | None:
-        """Return the old primary's entry, waiting for it if it has lapsed."""
-        until_ms = self._clock.now_ms() + RELISTED_MS
-        while self._clock.now_ms() < until_ms:
-            entry = self._parts._directory.instances.get(self._old)
+        """Return the old primary's entry, waiting until it is listed again."""
+        end_ms = self._clock.now_ms() + RELISTING_MS
+        while self._clock.now_ms() < end_ms:
+            entry = self._coordinator._directory.instances.get(self._old_id)
             if entry is not None:
                 return entry
-            self._prove()
+            self._verify_lock()
             self._pause()
         return None
 
-    def _promote_one(self) -> tuple[InstanceEntry, int]:
+    def _promote_replica(self) -> tuple[InstanceEntry, int]:
         refused: set[str] = set()
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             chosen = self._choose(refused)
             if chosen is None:
                 refused.clear()
-                self._parts._runtime.sleep_ms(RETRY_MS)
-                self._prove()
+                self._coordinator._runtime.sleep_ms(RETRY_MS)
+                self._verify_lock()
                 continue
             entry, status = chosen
-            self._prove()
-            outcome = self._parts._promote(
+            self._verify_lock()
+            outcome = self._coordinator._promote(
                 self._service,
                 entry.id,
-                self._parts._name,
+                self._coordinator._name,
                 self._record.epoch,
                 PROMOTE_TIMEOUT_MS,
             )
-            self._say(
-                "A promotion was ordered.",
+            self._log(
+                "A promotion was requested.",
                 instance=entry.id,
                 received=status.received,
                 outcome=outcome.name.lower(),
@@ -447,61 +473,65 @@
             if outcome is Promotion.NOT_RUNNING:
                 refused.add(entry.id)
                 continue
-            term = self._wait_for_lead(entry)
+            term = self._wait_for_promotion(entry)
             if term is not None:
                 return entry, term
-        raise _LostDutyError("no instance could be promoted")
+        raise _ChangeAbandonedError("no instance could be promoted")
 
     def _choose(self, refused: set[str]) -> tuple[InstanceEntry, InstanceStatus] | None:
-        """Return the replica that has received most, and all of it if planned."""
+        """Return the replica whose log is longest; in a switchover, once it is whole.
+
+        A replica that doesn't catch up in time is returned as it is.
+        """
         end_ms = self._clock.now_ms() + CATCH_UP_MS
         while True:
             best = self._find_best(refused)
             if best is None or self._reason != "planned":
                 return best
-            old = self._parts._directory.instances.get(self._old)
-            ended = self._ask(old) if old else None
-            if ended is None or best[1].received >= ended.received:
+            old = self._coordinator._directory.instances.get(self._old_id)
+            old_status = self._ask(old) if old else None
+            if old_status is None or best[1].received >= old_status.received:
                 return best
             if self._clock.now_ms() > end_ms:
-                self._say("A replica didn't catch up.", instance=best[0].id)
+                self._log("A replica didn't catch up in time.", instance=best[0].id)
                 return best
             self._pause()
 
     def _find_best(
         self, refused: set[str]
     ) -> tuple[InstanceEntry, InstanceStatus] | None:
-        skipped = refused if self._reason == "no primary" else refused | {self._old}
-        return self._parts.find_best(self._service, frozenset(skipped))
+        excluded = refused if self._reason == "no primary" else refused | {self._old_id}
+        return self._coordinator.find_best(self._service, frozenset(excluded))
 
     def _ask(self, entry: InstanceEntry) -> InstanceStatus | None:
-        return self._parts._ask_status(entry, STATUS_TIMEOUT_MS)
+        return self._coordinator._ask_status(entry, STATUS_TIMEOUT_MS)
 
-    def _wait_for_lead(self, entry: InstanceEntry) -> int | None:
-        """Return the term at which the instance leads, None when it doesn't in time."""
-        end_ms = self._clock.now_ms() + PROMOTE_MS
+    def _wait_for_promotion(self, entry: InstanceEntry) -> int | None:
+        """Return the instance's term once it is primary, or None after a timeout."""
+        end_ms = self._clock.now_ms() + BECOME_PRIMARY_MS
         while self._clock.now_ms() < end_ms:
             self._pause()
             status = self._ask(entry)
             if status is not None and status.is_primary:
                 return status.term
-        self._say("The promoted instance doesn't lead yet.", instance=entry.id)
+        self._log("The promoted instance isn't primary yet.", instance=entry.id)
         return None
 
     def _settle(self, chosen: InstanceEntry, term: int) -> None:
-        deposed = "" if chosen.id == self._old else self._old
+        deposed = "" if chosen.id == self._old_id else self._old_id
         self._record = self._record._replace(
             instance=chosen.id, term=term, settled=True, deposed=deposed
         )
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             try:
                 self._write()
                 return
             except StoreError as error:
-                self._say("The outcome isn't written yet.", error=str(error))
-                item = self._parts._mirror.get(self._key)
+                self._log("The new primary isn't recorded yet.", error=str(error))
+                item = self._coordinator._mirror.get(self._key)
                 if item is not None and item.revision > self._revision:
                     raise
-                # It leads whether that is written or not, and heartbeats tell it.
-                self._parts._announce(self._record)
-                self._parts._runtime.sleep_ms(RETRY_MS)
+                # The instance is primary whether the record is written or not, and
+                # heartbeats tell the other daemons.
+                self._coordinator._announce(self._record)
+                self._coordinator._runtime.sleep_ms(RETRY_MS)
--- a/tests/builders_heartbeats.py
+++ b/tests/builders_heartbeats.py
@@ -1,4 +1,4 @@
-"""A fleet's heartbeats in one process: real senders and receivers on a set clock."""
+"""A fleet in one process: real senders and receivers of heartbeats on a set clock."""
 
 from collections import deque
 
@@ -22,27 +22,27 @@
 
 
 class FakeMirror:
-    """A mirror that has been loaded; one whose `age_ms` is set goes on knowing more."""
+    """A loaded mirror, `age_ms` behind the store unless confirmed more recently."""
 
     def __init__(self, clock):
         self._clock = clock
         self.revision = 7
-        self.told = []
+        self.relay_revisions = []
         self.age_ms = 0.0
-        self._known_ms = NEVER_MS
+        self._current_as_of_ms = NEVER_MS
 
     def store_age_ms(self) -> float:
-        return min(self.age_ms, self._clock.now_ms() - self._known_ms)
+        return min(self.age_ms, self._clock.now_ms() - self._current_as_of_ms)
 
-    def note_told(self, at, address) -> None:
-        self.told.append(at)
+    def update_relay_revision(self, revision, address) -> None:
+        self.relay_revisions.append(revision)
 
-    def note_known(self, at, known_ms) -> None:
-        self._known_ms = max(self._known_ms, known_ms)
+    def confirm_current(self, revision, as_of_ms) -> None:
+        self._current_as_of_ms = max(self._current_as_of_ms, as_of_ms)
 
 
 class FakeDatagrams:
-    """A port on the fleet's network."""
+    """A UDP socket on the simulated network."""
 
     def __init__(self, network: "Network", address: Address):
         self._network = network
@@ -57,7 +57,7 @@
 
 
 class Network:
-    """Carries datagrams at the next step, unless a cut lies between their ends."""
+    """Delivers datagrams at the next step, unless a partition separates the ends."""
 
     def __init__(self):
         self.ports: dict[Address, FakeDatagrams] = {}
@@ -76,7 +76,11 @@
         self.sent.append((sender, receiver, data))
 
     def count_between_domains(self) -> int:
-        return sum(n for (one, two), n in self.bytes_between.items() if one != two)
+        return sum(
+            count
+            for (first, second), count in self.bytes_between.items()
+            if first != second
+        )
 
     def deliver(self) -> None:
         sent, self.sent = self.sent, []
@@ -86,7 +90,7 @@
 
 
 class Daemon:
-    """The parts of a daemon that heartbeats concern."""
+    """The parts of a daemon that take part in heartbeats."""
 
     def __init__(self, fleet: "HeartbeatFleet", name: str, domain: str, number: int):
         runtime = make_runtime(fleet.clock)
@@ -111,12 +115,12 @@
             self.placement,
             self.rates,
             self.guard,
-            self.take_lead,
+            self.apply_record,
         )
         self.next_beat_ms = fleet.clock.now_ms() + fleet.chance.uniform(0, BEAT_MS)
         self.is_alive = True
 
-    def take_lead(self, record) -> None:
+    def apply_record(self, record) -> None:
         if self.directory.set_primary_record(record):
             self.gossip.send_now()
 
@@ -126,17 +130,17 @@
         self.heartbeats.contacts.set_peers(others)
 
     def beat(self, now_ms: float) -> None:
-        if now_ms < self.next_beat_ms and not self.gossip._hurried:
+        if now_ms < self.next_beat_ms and not self.gossip._urgent:
             return
-        hurried, self.gossip._hurried = self.gossip._hurried, False
+        urgent, self.gossip._urgent = self.gossip._urgent, False
         self.next_beat_ms = now_ms + BEAT_MS
         beat = self.heartbeats.begin_round()
-        self.gossip.send_round(beat, self.heartbeats.complete_beat, hurried)
+        self.gossip.send_round(beat, self.heartbeats.complete_beat, urgent)
 
     def receive(self) -> None:
         arrived = self.gossip._sock.arrived
         while arrived:
-            self.gossip._take(arrived.popleft(), self.heartbeats.handle_beat)
+            self.gossip._handle(arrived.popleft(), self.heartbeats.handle_beat)
 
 
 class HeartbeatFleet:
@@ -162,10 +166,10 @@
 
     def list_relays(self) -> list[Daemon]:
         alive = self.list_alive()
-        return [one for one in alive if one.heartbeats.build_beat().relaying]
+        return [daemon for daemon in alive if daemon.heartbeats.build_beat().relaying]
 
     def step(self) -> None:
-        """Let one step pass: what was sent arrives, and who is due sends."""
+        """Advance by one step: deliver datagrams and send the heartbeats due."""
         self.clock.sleep_ms(STEP_MS)
         self._steps += 1
         self.network.deliver()
--- a/tests/test_contacts.py
+++ b/tests/test_contacts.py
@@ -1,6 +1,6 @@
-"""With whom a daemon exchanges heartbeats."""
+"""Which peers a daemon exchanges heartbeats with."""
 
-from bronzerelay.pooler.contacts import FULL_MESH, RELAYS, Contacts, Peer
+from bronzerelay.pooler.contacts import MAX_MESH_SIZE, RELAYS_PER_DOMAIN, Contacts, Peer
 from bronzerelay.runtime import Address
 
 DOMAINS = 3
@@ -25,47 +25,49 @@
 
 
 class TestSmallFleet:
-    def test_everybody_addresses_everybody(self):
-        plan = make_contacts(0, FULL_MESH).plan(lambda name: False, False)
-        assert len(plan.contacts) == FULL_MESH - 1
+    def test_all_daemons_contact_each_other(self):
+        plan = make_contacts(0, MAX_MESH_SIZE).plan(lambda name: False, False)
+        assert len(plan.contacts) == MAX_MESH_SIZE - 1
         assert not plan.relaying
 
 
 class TestLargeFleet:
-    def test_each_domain_has_its_relays_and_the_others_address_them(self):
+    def test_each_domain_has_its_relays_and_the_others_contact_them(self):
         plans = find_plans()
         relays = {name for name, plan in plans.items() if plan.relaying}
-        assert len(relays) == DOMAINS * RELAYS
+        assert len(relays) == DOMAINS * RELAYS_PER_DOMAIN
         for name, plan in plans.items():
             if name not in relays:
                 assert plan.contacts < relays
-                assert len(plan.contacts) == RELAYS
+                assert len(plan.contacts) == RELAYS_PER_DOMAIN
 
-    def test_relay_addresses_its_domain_and_the_other_relays(self):
+    def test_relay_contacts_its_domain_and_the_other_relays(self):
         plans = find_plans()
         relays = {name for name, plan in plans.items() if plan.relaying}
         for name in relays:
-            near = {one for one in plans if int(one[1:]) % 3 == int(name[1:]) % 3}
-            assert plans[name].contacts == (near | relays) - {name}
+            same_domain = {
+                other for other in plans if int(other[1:]) % 3 == int(name[1:]) % 3
+            }
+            assert plans[name].contacts == (same_domain | relays) - {name}
 
-    def test_next_one_takes_the_place_of_a_silent_relay_which_is_addressed_still(self):
-        # A relay is killed. Who goes on to the next one must go on asking the first,
-        # or a relay that is back would have nobody to relay for.
+    def test_silent_relay_is_replaced_and_still_contacted(self):
+        # A relay is killed. Daemons that switch to the next one must still contact the
+        # first, or a relay that is back would have no daemons to relay for.
         first = find_plans()
-        gone = next(name for name, plan in first.items() if plan.relaying)
-        plans = find_plans(silent={gone})
+        silent = next(name for name, plan in first.items() if plan.relaying)
+        plans = find_plans(silent={silent})
         relays = {name for name, plan in plans.items() if plan.relaying}
-        assert len(relays - {gone}) == DOMAINS * RELAYS
-        domain = int(gone[1:]) % 3
+        assert len(relays - {silent}) == DOMAINS * RELAYS_PER_DOMAIN
+        domain = int(silent[1:]) % 3
         for number in range(domain, 30, 3):
-            if f"d{number}" != gone:
-                assert gone in plans[f"d{number}"].contacts
+            if f"d{number}" != silent:
+                assert silent in plans[f"d{number}"].contacts
 
-    def test_who_hears_of_nobody_addresses_all(self):
+    def test_daemon_that_hears_no_other_contacts_all(self):
         plan = make_contacts().plan(lambda name: True, False)
         assert len(plan.contacts) == 29
 
-    def test_maker_of_a_change_addresses_the_relays_of_all_domains(self):
+    def test_lock_holder_contacts_the_relays_of_all_domains(self):
         relays = {name for name, plan in find_plans().items() if plan.relaying}
         own = next(number for number in range(30) if f"d{number}" not in relays)
         assert make_contacts(own).plan(lambda name: False, True).contacts == relays
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,8 +1,8 @@
-"""What a daemon believes of configuration, instances and primaries."""
+"""The daemon's view of the configuration, the instances and the primaries."""
 
 import pytest
 
-from bronzerelay.pooler.directory import GONE_AFTER_MS
+from bronzerelay.pooler.directory import KEEP_UNLISTED_MS
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
     ManualClock,
@@ -24,15 +24,15 @@
     return make_directory(make_runtime(clock))
 
 
-def leader_id(directory):
-    leader = directory.find_primary(SERVICE)
-    return leader.id if leader else None
+def primary_id(directory):
+    primary = directory.find_primary(SERVICE)
+    return primary.id if primary else None
 
 
 class TestConfig:
     def test_versions_never_go_back(self, directory):
-        # A held-up answer brings an old version after a newer one; a key that was
-        # withdrawn in between would work again.
+        # A delayed answer brings an old version after a newer one. A key that was
+        # withdrawn in between would be accepted again.
         assert directory.set_config(make_config(5), "store")
         assert not directory.set_config(make_config(4), "store")
         assert not directory.set_config(make_config(5), "store")
@@ -40,64 +40,64 @@
 
 
 class TestInstances:
-    def test_missing_instance_stays_for_a_while(self, directory, clock):
+    def test_unlisted_instance_stays_for_a_while(self, directory, clock):
         directory.set_instance(make_instance("a"))
         directory.unlist_instance("a")
         directory.forget_unlisted()
         assert "a" in directory.instances
-        clock.sleep_ms(GONE_AFTER_MS + 1)
+        clock.sleep_ms(KEEP_UNLISTED_MS + 1)
         directory.forget_unlisted()
         assert "a" not in directory.instances
 
-    def test_instance_that_comes_back_stays(self, directory, clock):
+    def test_instance_that_is_listed_again_stays(self, directory, clock):
         directory.set_instance(make_instance("a"))
         directory.unlist_instance("a")
         directory.set_instance(make_instance("a"))
-        clock.sleep_ms(GONE_AFTER_MS + 1)
+        clock.sleep_ms(KEEP_UNLISTED_MS + 1)
         directory.forget_unlisted()
         assert "a" in directory.instances
 
-    def test_restarted_instance_is_another_one(self, directory):
+    def test_restarted_instance_counts_as_another_one(self, directory):
         old = make_instance("a", born_ms=1)
         directory.set_instance(old)
         directory.set_instance(make_instance("a", born_ms=2))
         assert not directory.is_listed(old)
 
 
-class TestLeads:
+class TestPrimaries:
     def test_claim_counts_without_a_record(self, directory):
         directory.set_instance(make_instance("orders-0", claims_primary=True))
-        assert leader_id(directory) == "orders-0"
+        assert primary_id(directory) == "orders-0"
 
-    def test_record_goes_before_claims(self, directory):
-        # The old primary lives on behind a cut and still says that it leads.
+    def test_record_takes_precedence_over_claims(self, directory):
+        # The old primary still runs behind a partition and claims to be primary.
         directory.set_instance(make_instance("orders-0", claims_primary=True))
         directory.set_instance(make_instance("orders-1"))
         directory.set_primary_record(make_primary_record(3))
-        assert leader_id(directory) == "orders-1"
+        assert primary_id(directory) == "orders-1"
 
-    def test_deposed_primary_doesnt_lead_again(self, directory):
+    def test_deposed_primary_isnt_used_again(self, directory):
         directory.set_instance(make_instance("orders-0", claims_primary=True))
         directory.set_primary_record(make_primary_record(3))
-        assert leader_id(directory) is None
+        assert primary_id(directory) is None
 
-    def test_successor_of_the_recorded_one_leads(self, directory):
+    def test_claim_counts_if_the_recorded_primary_is_gone(self, directory):
         directory.set_instance(make_instance("orders-7", claims_primary=True))
         directory.set_primary_record(make_primary_record(3))
-        assert leader_id(directory) == "orders-7"
+        assert primary_id(directory) == "orders-7"
 
-    def test_older_record_changes_nothing(self, directory):
+    def test_older_record_is_ignored(self, directory):
         assert directory.set_primary_record(make_primary_record(3))
         assert not directory.set_primary_record(make_primary_record(2, settled=False))
         assert not directory.set_primary_record(make_primary_record(3, settled=False))
         assert directory.primary_records[SERVICE].settled
 
-    def test_primary_that_leaves_is_used_for_a_part_of_its_time(self, directory, clock):
-        # It says that it leaves and nobody can replace it. Requests that reach it when
-        # its time is over are cut with it.
+    def test_leaving_primary_is_used_for_a_part_of_its_time(self, directory, clock):
+        # A primary is leaving and there is no replica to replace it. Requests that are
+        # still running when it stops would be cut off.
         directory.set_instance(
             make_instance("orders-0", claims_primary=True, leaving=True)
         )
-        assert leader_id(directory) == "orders-0"
+        assert primary_id(directory) == "orders-0"
         clock.sleep_ms(5000)
-        assert leader_id(directory) is None
+        assert primary_id(directory) is None
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,9 +1,9 @@
-"""The structured log: bounded, and never waited for."""
+"""The structured log and the bounds of its queue."""
 
 import json
 import os
 
-from bronzerelay.pooler.events import QUEUE_LINES, REQUEST_LINES_PER_S, EventLog
+from bronzerelay.pooler.events import MAX_QUEUED_LINES, REQUEST_LINES_PER_S, EventLog
 from tests.builders_pooler import ManualClock, make_runtime
 
 
@@ -26,8 +26,8 @@
         assert (line["node"], line["request"], line["version"]) == ("d1", "r1", 3)
 
     def test_flood_of_requests_is_bounded_and_counted(self):
-        # A fault refuses thousands of requests a second. A line for each would take
-        # the processor time of the callers that could be served.
+        # During a fault thousands of requests are refused a second. A line for each
+        # would use processor time that other callers need.
         clock = ManualClock()
         log, reading = make_pipe_log(clock)
         for _ in range(1000):
@@ -40,8 +40,8 @@
         log.flush()
         assert len(read_lines(reading)) == 1
 
-    def test_reader_that_stalls_holds_nobody_up(self):
+    def test_stalled_reader_of_the_log_blocks_no_writer(self):
         log, _ = make_pipe_log(ManualClock())
-        for _ in range(QUEUE_LINES + 10):
+        for _ in range(MAX_QUEUED_LINES + 10):
             log.write("front", "Something happened.")
         assert log.dropped == 10
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Polls that bound how old what is known of the store may become."""
+"""The polls that bound how far a mirror may lag behind the store."""
 
 import pytest
 
@@ -22,7 +22,7 @@
     """Answers polls with its revision, or not at all."""
 
     def __init__(self):
-        self.at = 7
+        self.revision = 7
         self.answers = True
         self.polls = 0
         self.interrupts = 0
@@ -31,14 +31,14 @@
         self.polls += 1
         if not self.answers:
             raise StoreError("silent")
-        return self.at
+        return self.revision
 
     def interrupt(self):
         self.interrupts += 1
 
 
-class Parts:
-    """A poller on a set clock, with a mirror that knows all up to now."""
+class PollerHarness:
+    """A poller on a set clock, with a mirror that is current."""
 
     def __init__(self, turn=FIRST):
         self.clock = ManualClock()
@@ -48,8 +48,8 @@
         self.store = PolledStore()
         self.on_sleep = lambda: None
         self.mirror = Mirror(runtime, self.store, lambda item: None, make_log(runtime))
-        self.mirror._replace([Item("a", b"1", 1)], self.store.at)
-        self.mirror.note_known(self.store.at, self.clock.now_ms())
+        self.mirror._replace([Item("a", b"1", 1)], self.store.revision)
+        self.mirror.confirm_current(self.store.revision, self.clock.now_ms())
         self.poller = StorePoller(
             runtime,
             self.store,
@@ -74,110 +74,112 @@
 
 class TestTurns:
     @pytest.mark.parametrize("turn", [FIRST, Turn(3, 700.0)])
-    def test_each_asks_once_those_before_it_should_have_told(self, turn):
-        parts = Parts(turn)
+    def test_each_daemon_polls_once_those_before_it_should_have(self, turn):
+        harness = PollerHarness(turn)
         limit_ms = FIRST_MS + turn.lag_ms + turn.place * STEP_MS
-        parts.run(limit_ms - 10)
-        assert parts.store.polls == 0
-        parts.run(20)
-        assert parts.store.polls == 1
-
-    def test_who_hears_of_the_others_polls_doesnt_ask(self):
-        parts = Parts(Turn(1, 700.0))
-        parts.on_sleep = lambda: parts.mirror.note_known(
-            7, parts.clock.now_ms() - FIRST_MS
+        harness.run(limit_ms - 10)
+        assert harness.store.polls == 0
+        harness.run(20)
+        assert harness.store.polls == 1
+
+    def test_daemon_that_hears_of_other_polls_doesnt_poll(self):
+        harness = PollerHarness(Turn(1, 700.0))
+        harness.on_sleep = lambda: harness.mirror.confirm_current(
+            7, harness.clock.now_ms() - FIRST_MS
         )
-        parts.run(20_000)
-        assert parts.store.polls == 0
+        harness.run(20_000)
+        assert harness.store.polls == 0
 
     def test_answer_counts_until_the_next_turn(self):
-        parts = Parts()
-        parts.run(10 * FIRST_MS + 100)
-        assert parts.store.polls == 10
-        assert parts.mirror.store_age_ms() <= FIRST_MS
+        harness = PollerHarness()
+        harness.run(10 * FIRST_MS + 100)
+        assert harness.store.polls == 10
+        assert harness.mirror.store_age_ms() <= FIRST_MS
 
     @pytest.mark.parametrize("turn", [FIRST, Turn(3, 700.0)])
-    def test_few_looks_are_needed(self, turn):
-        # Guards against a loop whose wake-ups take most of what control may cost.
-        parts = Parts(turn)
-        parts.looks = 0
-        end_ms = parts.clock.now_ms() + 30_000
-
-        def look():
-            parts.looks += 1
+    def test_few_checks_are_needed(self, turn):
+        # Guards against a loop whose wake-ups use most of the processor budget of
+        # control traffic.
+        harness = PollerHarness(turn)
+        harness.checks = 0
+        end_ms = harness.clock.now_ms() + 30_000
+
+        def check():
+            harness.checks += 1
             if turn.place:
-                parts.mirror.note_known(7, parts.clock.now_ms() - FIRST_MS)
+                harness.mirror.confirm_current(7, harness.clock.now_ms() - FIRST_MS)
 
-        parts.on_sleep = look
-        while parts.clock.now_ms() < end_ms:
-            parts.sleep_ms(parts.poller.poll_if_due())
-        assert parts.looks <= 30_000 / FIRST_MS + 1
+        harness.on_sleep = check
+        while harness.clock.now_ms() < end_ms:
+            harness.sleep_ms(harness.poller.poll_if_due())
+        assert harness.checks <= 30_000 / FIRST_MS + 1
 
 
-class TestNews:
-    def test_watch_that_misses_news_is_sent_anew(self):
-        # Guards against a lost watch that is waited out.
-        parts = Parts()
-        parts.store.at = 9
-        parts.run(FIRST_MS + BEHIND_MS + 100)
-        assert parts.store.interrupts == 1
-        assert parts.mirror.store_age_ms() > FIRST_MS
+class TestUpdates:
+    def test_watch_that_misses_updates_is_restarted(self):
+        # Guards against waiting until a lost watch times out.
+        harness = PollerHarness()
+        harness.store.revision = 9
+        harness.run(FIRST_MS + BEHIND_MS + 100)
+        assert harness.store.interrupts == 1
+        assert harness.mirror.store_age_ms() > FIRST_MS
 
-    def test_watch_that_brings_news_goes_on(self):
-        parts = Parts()
-        parts.store.at = 9
+    def test_watch_that_brings_updates_isnt_interrupted(self):
+        harness = PollerHarness()
+        harness.store.revision = 9
 
-        def bring():
-            if parts.store.polls:
-                parts.mirror._replace([Item("a", b"2", 9)], 9)
+        def deliver():
+            if harness.store.polls:
+                harness.mirror._replace([Item("a", b"2", 9)], 9)
 
-        parts.on_sleep = bring
-        parts.run(FIRST_MS + BEHIND_MS + 100)
-        assert parts.store.interrupts == 0
+        harness.on_sleep = deliver
+        harness.run(FIRST_MS + BEHIND_MS + 100)
+        assert harness.store.interrupts == 0
 
-    def test_daemon_behind_a_relay_goes_by_the_store_then(self):
-        # Guards against following a relay that knows less than the store has.
-        parts = Parts()
-        parts.mirror.follows_relay = lambda: True
-        assert parts.mirror._should_follow()
-        parts.store.at = 9
-        parts.run(FIRST_MS + BEHIND_MS + 100)
-        assert not parts.mirror._should_follow()
+    def test_daemon_behind_a_relay_that_lags_watches_the_store(self):
+        # Guards against following a relay that is behind the store.
+        harness = PollerHarness()
+        harness.mirror.follows_relay = lambda: True
+        assert harness.mirror._should_follow()
+        harness.store.revision = 9
+        harness.run(FIRST_MS + BEHIND_MS + 100)
+        assert not harness.mirror._should_follow()
 
 
 class TestOutage:
-    def test_failed_polls_are_rarer_further_down_the_order(self):
+    def test_failed_polls_are_rarer_at_lower_ranks(self):
         def count_polls(place):
-            parts = Parts(Turn(place, 0.0))
-            parts.store.answers = False
-            parts.run(20_000)
-            return parts.store.polls
+            harness = PollerHarness(Turn(place, 0.0))
+            harness.store.answers = False
+            harness.run(20_000)
+            return harness.store.polls
 
         first, tenth = count_polls(0), count_polls(9)
         assert first <= 20_000 / RETRY_MS * 1.5
         assert tenth <= first / 5
 
-    def test_first_answer_after_it_counts(self):
-        parts = Parts()
-        parts.store.answers = False
-        parts.run(8_000)
-        assert parts.mirror.store_age_ms() > 7_000
-        parts.store.answers = True
-        parts.run(1.5 * RETRY_MS)
-        assert parts.mirror.store_age_ms() < FIRST_MS
+    def test_first_answer_after_an_outage_counts(self):
+        harness = PollerHarness()
+        harness.store.answers = False
+        harness.run(8_000)
+        assert harness.mirror.store_age_ms() > 7_000
+        harness.store.answers = True
+        harness.run(1.5 * RETRY_MS)
+        assert harness.mirror.store_age_ms() < FIRST_MS
 
 
 class TestAge:
-    def test_mirror_of_a_peer_says_nothing_of_its_age(self):
-        # Guards against a restarted daemon that takes a cut-off peer's mirror for new.
+    def test_mirror_of_a_peer_doesnt_count_as_current(self):
+        # Guards against a restarted daemon that treats the mirror of a partitioned peer
+        # as current.
         runtime = make_runtime(ManualClock())
         mirror = Mirror(runtime, None, lambda item: None, make_log(runtime))
         mirror.unpack(pack_mirror(PeerMirror(7, [("a", b"1", 1)])), "peer")
         assert mirror.loaded
         assert mirror.store_age_ms() > 60_000
 
-    def test_what_a_peer_that_is_ahead_knows_isnt_known_here(self):
-        parts = Parts()
-        parts.clock.sleep_ms(500)
-        assert not parts.mirror.note_known(8, parts.clock.now_ms())
-        assert parts.mirror.store_age_ms() == 500
+    def test_confirmation_of_a_newer_revision_doesnt_count(self):
+        harness = PollerHarness()
+        harness.clock.sleep_ms(500)
+        assert not harness.mirror.confirm_current(8, harness.clock.now_ms())
+        assert harness.mirror.store_age_ms() == 500
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Heartbeats between daemons."""
+"""The exchange of heartbeats between daemons."""
 
 import pytest
 
@@ -39,8 +39,8 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.taken = []
-        # Since when each report was wanted.
+        self.handled = []
+        # For each heartbeat sent, the time since which its report was requested.
         self.reported_since = []
         self.first, self.second = self.make("a"), self.make("b")
         self.first.set_members({"b": Peer(self.second._sock.address)})
@@ -62,7 +62,9 @@
 
     def receive(self, receiver):
         data = receiver._sock.receive(8192)
-        receiver._take(data, lambda beat, view, proven_ms: self.taken.append(proven_ms))
+        receiver._handle(
+            data, lambda beat, view, proven_ms: self.handled.append(proven_ms)
+        )
 
 
 @pytest.fixture
@@ -74,73 +76,73 @@
 
 
 class TestProof:
-    def test_beat_counts_from_when_the_one_it_answers_was_sent(self, pair):
+    def test_beat_counts_from_when_the_one_it_echoes_was_sent(self, pair):
         sent_ms = pair.clock.now_ms()
         pair.send(pair.first, pair.second, "a")
-        assert pair.taken == [NEVER_MS]
+        assert pair.handled == [NEVER_MS]
         pair.clock.sleep_ms(100)
         pair.send(pair.second, pair.first, "b")
-        assert pair.taken[-1] == sent_ms
-        assert pair.first.views["b"].told_at_ms == sent_ms
+        assert pair.handled[-1] == sent_ms
+        assert pair.first.views["b"].heard_up_to_ms == sent_ms
 
     def test_beat_that_waited_while_this_process_was_frozen_is_old(self, pair):
-        # A heartbeat lies in the queue while the process is frozen. Taken for new after
-        # it woke up, it would prove that a primary leads that was replaced since.
+        # A heartbeat is queued while the process is frozen. If it counted as new, it
+        # would be a proof for a primary that was replaced since.
         sent_ms = pair.clock.now_ms()
         pair.send(pair.first, pair.second, "a")
         pair.second.send_round(make_beat(pair.second, "b"), pair.complete)
         pair.clock.sleep_ms(8000)
         pair.receive(pair.first)
-        assert pair.first.views["b"].told_at_ms == sent_ms
+        assert pair.first.views["b"].heard_up_to_ms == sent_ms
 
-    def test_what_was_described_before_a_freeze_answers_no_later_heartbeat(self, pair):
-        # A daemon is frozen just after it has written down its proof and before it
-        # sends it. Newer heartbeats are in its queue when it wakes up; if it answered
-        # these, their sender would take a proof of seconds ago for a new one and use a
-        # primary that was replaced since.
+    def test_beat_built_before_a_freeze_echoes_no_later_heartbeat(self, pair):
+        # A daemon is frozen after it has built a heartbeat with its proof and before it
+        # sends it. Newer heartbeats are in its queue when it resumes. If it echoed
+        # these, their sender would count an old proof as new and use a primary that was
+        # replaced since.
         pair.send(pair.first, pair.second, "a")
         sent_ms = pair.clock.now_ms()
         pair.clock.sleep_ms(300)
 
-        def describe():
+        def build_beat():
             beat = make_beat(pair.second, "b")
             pair.clock.sleep_ms(2000)
             pair.send(pair.first, pair.second, "a")
             return beat
 
-        pair.second.run_round(describe, pair.complete)
+        pair.second.run_round(build_beat, pair.complete)
         pair.receive(pair.first)
-        assert pair.first.views["b"].told_at_ms == sent_ms
+        assert pair.first.views["b"].heard_up_to_ms == sent_ms
 
-    def test_echo_of_a_process_before_this_one_proves_nothing(self, pair):
+    def test_echo_of_an_earlier_process_is_no_proof(self, pair):
         pair.send(pair.first, pair.second, "a")
         pair.first.incarnation += 1
         pair.send(pair.second, pair.first, "b")
-        assert pair.taken[-1] == NEVER_MS
+        assert pair.handled[-1] == NEVER_MS
 
-    def test_late_beat_is_left_aside(self, pair):
+    def test_late_beat_is_ignored(self, pair):
         pair.first.send_round(make_beat(pair.first, "a"), pair.complete)
         early = pair.second._sock.receive(8192)
         pair.send(pair.first, pair.second, "a", store_revision=9)
-        count = len(pair.taken)
-        pair.second._take(early, lambda *_: pair.taken.append(0))
-        assert len(pair.taken) == count
+        count = len(pair.handled)
+        pair.second._handle(early, lambda *_: pair.handled.append(0))
+        assert len(pair.handled) == count
         assert pair.second.views["a"].store_revision == 9
 
-    def test_nonsense_is_left_aside(self, pair):
-        pair.first._take(b"\xc1nonsense", lambda *_: pair.taken.append(0))
-        assert pair.taken == []
+    def test_malformed_beat_is_ignored(self, pair):
+        pair.first._handle(b"\xc1nonsense", lambda *_: pair.handled.append(0))
+        assert pair.handled == []
 
 
 class TestReports:
-    def test_report_holds_what_changed_since_the_last_one_that_was_got(self, pair):
-        # A heartbeat is lost. What it told would be missing at the peer for good, and
-        # the workspace would be given that much more than its rate.
+    def test_report_holds_what_changed_since_the_last_received_one(self, pair):
+        # A heartbeat is lost. If its report weren't sent again, the peer would never
+        # count those operations, and the workspace would exceed its rate by them.
         pair.send(pair.first, pair.second, "a")
-        got_ms = pair.clock.now_ms()
+        received_ms = pair.clock.now_ms()
         pair.send(pair.second, pair.first, "b")
         pair.clock.sleep_ms(300)
         pair.first.send_round(make_beat(pair.first, "a"), pair.complete)
         pair.clock.sleep_ms(300)
         pair.first.send_round(make_beat(pair.first, "a"), pair.complete)
-        assert pair.reported_since == [None, None, got_ms, got_ms]
+        assert pair.reported_since == [None, None, received_ms, received_ms]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who the other daemons are, and which of them are enough for a change."""
+"""The member list: which members are a quorum, and which are removed."""
 
 import msgspec
 import pytest
@@ -16,7 +16,7 @@
 
 
 class FakeMirror:
-    """The members' keys, each at its revision."""
+    """The entries of the members, each at its store revision."""
 
     def __init__(self, revisions):
         self._revisions = revisions
@@ -45,55 +45,55 @@
 
 
 class FakeGossip:
-    """What each peer was last heard to know of the store."""
+    """Views of peers, with the store revision last heard from each."""
 
-    def __init__(self, store_revision):
+    def __init__(self, store_revisions):
         self.views = {}
-        for name, revision in store_revision.items():
+        for name, revision in store_revisions.items():
             self.views[name] = PeerView(name, PEER, 0.0)
             self.views[name].store_revision = revision
-            self.views[name].knew_at = revision
+            self.views[name].known_revision = revision
 
 
-def make_members(revisions, store_revision):
+def make_members(revisions, store_revisions):
     runtime = make_runtime()
     members = Members(
         runtime,
         "d1",
         PEER,
         FakeMirror(revisions),
-        FakeGossip(store_revision),
+        FakeGossip(store_revisions),
         make_log(runtime),
     )
     members.update()
     return members
 
 
-class TestOutvoting:
+class TestQuorum:
     @pytest.mark.parametrize(("known", "enough"), [(2, False), (3, True)])
-    def test_most_of_an_odd_number_are_enough(self, known, enough):
+    def test_majority_of_an_odd_number_is_a_quorum(self, known, enough):
         names = [f"d{number}" for number in range(1, 6)]
         members = make_members(dict.fromkeys(names, 1), {})
         assert members.is_quorum(set(names[:known])) is enough
 
-    def test_half_are_enough_where_the_others_know_the_same_list(self):
-        # Daemons are split in halves, and the primary is on the side without the
-        # store. Neither half may use it, and for as long as the split lasted the other
-        # half didn't replace it either.
+    def test_half_is_a_quorum_if_the_others_know_the_same_list(self):
+        # Daemons are split in half, with the primary on the side without the store.
+        # Neither half may use it. If half weren't a quorum, the other half couldn't
+        # replace it for as long as the partition lasts.
         members = make_members({"d1": 1, "d2": 2, "d3": 3, "d4": 4}, {"d3": 4, "d4": 9})
         assert members.is_quorum({"d1", "d2"})
         assert not members.is_quorum({"d1"})
 
-    def test_half_are_too_few_where_somebody_joined_unheard_of(self):
-        # Three daemons are two and one, and the one is joined by a new one while it is
-        # cut off from the two. These are still most of the three that they know of, go
-        # on using the primary, and would read and write beside its successor.
+    def test_half_is_too_few_if_a_member_joined_unknown_to_the_others(self):
+        # Of three daemons one is partitioned from the other two, and a fourth joins on
+        # its side. The two are still a majority of the three that they know, so they go
+        # on using the primary, also after its replacement.
         members = make_members({"d1": 1, "d2": 2, "d3": 3, "d4": 8}, {"d2": 3, "d3": 3})
         assert not members.is_quorum({"d1", "d4"})
 
-    def test_half_are_too_few_where_the_others_know_of_no_removal(self):
-        # Guards against halves of a list that is shorter than the one by which the
-        # other half, with the member that was removed, still has a majority.
+    def test_half_is_too_few_if_the_others_dont_know_of_a_removal(self):
+        # Guards against counting half of the shortened list as a quorum, while the
+        # other half and the removed member are a majority of the earlier list.
         names = ["d1", "d2", "d3", "d4", "d5"]
         members = make_members(dict.fromkeys(names, 1), dict.fromkeys(names[1:], 5))
         assert members.is_quorum({"d1", "d2", "d3"})
@@ -101,7 +101,7 @@
         members.update()
         assert not members.is_quorum({"d1", "d2"})
 
-    def test_half_are_too_few_where_the_others_were_never_heard_of(self):
+    def test_half_is_too_few_if_the_others_were_never_heard(self):
         members = make_members({"d1": 1, "d2": 2}, {})
         assert not members.is_quorum({"d1"})
 
@@ -110,53 +110,53 @@
 
 
 class TestRemoving:
-    """Five others are addressed, of which some have been silent."""
+    """Five other members are contacts, and some of them have been silent."""
 
-    def make(self, silent_ms, addressed=OTHERS, behind=(), relayed=()):
+    def make(self, silent_ms, contacts=OTHERS, behind=(), relayed=()):
         clock = ManualClock()
         runtime = make_runtime(clock)
         gossip = FakeGossip({name: 2 if name in behind else 3 for name in OTHERS})
         for name, view in gossip.views.items():
-            view.told_at_ms = clock.now_ms() - silent_ms.get(name, 100)
+            view.heard_up_to_ms = clock.now_ms() - silent_ms.get(name, 100)
             if name in relayed:
                 continue
-            view.received_at_ms = view.told_at_ms
-            view.addressed_since_ms = 0.0 if name in addressed else None
+            view.received_at_ms = view.heard_up_to_ms
+            view.contact_since_ms = 0.0 if name in contacts else None
         mirror = FakeMirror(dict.fromkeys(["d1", *OTHERS], 3))
         members = Members(runtime, "d1", PEER, mirror, gossip, make_log(runtime))
         members.update()
         members.remove_silent()
         return mirror.removed
 
-    def test_member_that_is_gone_for_good_is_off_the_list_after_seconds(self):
-        # A VM is replaced without a word. As long as it is listed a part of each
-        # workspace's rate is set aside for it: one caller of seven is refused beside a
-        # flood, and a change of primary may wait for it.
+    def test_member_that_is_gone_is_removed_after_seconds(self):
+        # A VM is replaced without notice. While it is listed, a share of each
+        # workspace's rate is reserved for it, so that one caller of seven is refused
+        # during a flood, and a primary change may wait for it.
         assert self.make({"d3": 6000}) == [MEMBER_PREFIX + "d3"]
 
     def test_member_that_was_frozen_for_a_moment_stays(self):
         assert self.make({"d3": 4000}) == []
 
-    def test_who_hears_of_few_removes_nobody(self):
-        # A daemon that is cut off itself would take all others off the list.
+    def test_daemon_that_hears_few_members_removes_none(self):
+        # A daemon that is partitioned itself would remove all others.
         assert self.make({"d2": 6000, "d3": 6000, "d4": 6000}) == []
 
-    def test_minority_removes_nobody_while_the_others_fall_silent_one_by_one(self):
-        # Guards against a minority that shrinks the list until it is most of it, and
-        # replaces a primary that the majority still uses.
+    def test_minority_removes_none_while_the_others_fall_silent_one_by_one(self):
+        # Guards against a minority that shortens the list until it is the majority of
+        # it, and replaces a primary that the former majority still uses.
         assert self.make({"d2": 5100, "d3": 4900, "d4": 4900}) == []
 
-    def test_nobody_else_is_removed_before_most_know_the_list(self):
-        # Guards against removals one after another that a majority knows nothing of.
+    def test_next_member_is_removed_once_most_know_the_list(self):
+        # Guards against successive removals that a majority doesn't know of.
         assert self.make({"d2": 6000}, behind=("d3", "d4", "d5")) == []
         assert self.make({"d2": 6000}, behind=("d3",)) != []
 
     def test_members_behind_relays_count_only_if_they_know_the_list(self):
-        # Guards against removals that the members behind relays know nothing of.
+        # Guards against removals that the members behind relays don't know of.
         far = ("d3", "d4", "d5", "d6")
         assert self.make({"d2": 6000}, relayed=far, behind=far) == []
         assert self.make({"d2": 6000}, relayed=far) == [MEMBER_PREFIX + "d2"]
 
-    def test_member_that_isnt_addressed_isnt_judged(self):
-        # Behind relays a daemon hears of most others through these alone.
-        assert self.make({"d3": 6000}, addressed=("d2", "d4")) == []
+    def test_member_that_isnt_a_contact_isnt_removed(self):
+        # A daemon behind relays hears most other members only through these.
+        assert self.make({"d3": 6000}, contacts=("d2", "d4")) == []
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -1,4 +1,4 @@
-"""The mirror of the platform's store."""
+"""The mirror of the platform's store, and how it follows the store or a relay."""
 
 import zlib
 
@@ -50,10 +50,10 @@
 def run_script(*steps):
     runtime = make_runtime()
     store = ScriptedStore(runtime, steps)
-    taken = []
-    mirror = Mirror(runtime, store, taken.append, make_log(runtime))
+    handled = []
+    mirror = Mirror(runtime, store, handled.append, make_log(runtime))
     mirror.run()
-    return mirror, store, taken
+    return mirror, store, handled
 
 
 A1, A2 = Item("a", b"1", 1), Item("a", b"2", 2)
@@ -62,37 +62,37 @@
 
 class TestFollowing:
     def test_load_then_watch(self):
-        mirror, store, taken = run_script(StoreItems([A1], 1), StoreItems([A2], 2))
+        mirror, store, handled = run_script(StoreItems([A1], 1), StoreItems([A2], 2))
         assert mirror.get("a") == A2
-        assert taken == [A1, A2]
+        assert handled == [A1, A2]
         assert [after for after, _ in store.waits] == [1, 2]
 
     def test_removed_key(self):
-        gone = Item("a", None, 2)
-        mirror, _, taken = run_script(StoreItems([A1], 1), StoreItems([gone], 2))
+        removed = Item("a", None, 2)
+        mirror, _, handled = run_script(StoreItems([A1], 1), StoreItems([removed], 2))
         assert mirror.get("a") is None
-        assert taken[-1] == gone
+        assert handled[-1] == removed
 
-    def test_lost_history_is_loaded_and_what_is_missing_counts_as_removed(self):
-        # The store forgets its history while a key is removed. Nobody will ever send
-        # that removal, and an instance that is gone would be used for good.
-        mirror, _, taken = run_script(
+    def test_lost_history_is_reloaded_and_missing_keys_count_as_removed(self):
+        # The store drops its history, in which a key was removed. The removal is never
+        # sent, and an instance that is gone would be used for good.
+        mirror, _, handled = run_script(
             StoreItems([A1, B1], 1), HistoryLostError("gone"), StoreItems([A2], 5)
         )
         assert mirror.get("b") is None
-        assert taken[-1].key == "b" and taken[-1].data is None
+        assert handled[-1].key == "b" and handled[-1].data is None
 
-    def test_failure_is_tried_again(self):
+    def test_failed_load_is_retried(self):
         mirror, _, _ = run_script(StoreError("down"), StoreItems([A1], 1))
         assert mirror.get("a") == A1
 
-    def test_old_item_changes_nothing(self):
-        # An answer that was held up brings a key as it was before.
-        mirror, _, taken = run_script(StoreItems([A2], 2), StoreItems([A1], 3))
+    def test_older_item_is_ignored(self):
+        # A delayed answer brings an earlier revision of a key.
+        mirror, _, handled = run_script(StoreItems([A2], 2), StoreItems([A1], 3))
         assert mirror.get("a") == A2
-        assert taken == [A2]
+        assert handled == [A2]
 
-    def test_watches_are_short_while_a_proof_is_wanted(self):
+    def test_watches_are_short_while_proofs_must_come_from_the_store(self):
         runtime = make_runtime()
         store = ScriptedStore(runtime, [StoreItems([], 1), StoreItems([], 1)])
         mirror = Mirror(runtime, store, lambda item: None, make_log(runtime))
@@ -111,8 +111,8 @@
         assert mirror.store_age_ms() == 1000
 
 
-class HoldingStore:
-    """Holds back from its watches what a read shows; the script ends after some."""
+class MissingUpdatesStore:
+    """Misses in its watches an update that its revision includes; ends after some."""
 
     def __init__(self, runtime, item, watches=3):
         self._runtime = runtime
@@ -140,53 +140,53 @@
         pass
 
 
-class TestHeldBack:
+class TestMissedUpdates:
     def make(self, item):
         runtime = make_runtime(ManualClock())
-        store = HoldingStore(runtime, item)
+        store = MissingUpdatesStore(runtime, item)
         mirror = Mirror(runtime, store, lambda item: None, make_log(runtime))
         mirror.wants_proof = lambda: True
-        proven = []
-        mirror.on_proof = lambda ms: proven.append((ms, mirror.get("lead")))
+        proofs = []
+        mirror.on_proof = lambda ms: proofs.append((ms, mirror.get("lead")))
         mirror.run()
-        return store, proven
+        return store, proofs
 
-    def test_an_empty_watch_proves_nothing_while_the_store_has_more(self):
-        """Guards against a proof for a primary whose change is held back."""
-        change = Item("lead", b"next", 9)
-        store, proven = self.make(change)
+    def test_an_empty_watch_is_no_proof_while_the_store_has_updates(self):
+        """Guards against a proof for a primary whose replacement the watch misses."""
+        update = Item("lead", b"next", 9)
+        store, proofs = self.make(update)
         assert store.calls[:6] == ["load", "watch", "poll", "watch", "poll", "load"]
-        assert [known for _, known in proven[1:]] == [change] * (len(proven) - 1)
+        assert [known for _, known in proofs[1:]] == [update] * (len(proofs) - 1)
 
-    def test_an_empty_watch_proves_what_a_read_behind_it_confirms(self):
-        store, proven = self.make(Item("lead", b"same", 1))
+    def test_an_empty_watch_is_a_proof_once_a_poll_confirms_it(self):
+        store, proofs = self.make(Item("lead", b"same", 1))
         assert store.calls == ["load", *["watch", "poll"] * 3]
-        assert len(proven) == 4
+        assert len(proofs) == 4
 
 
 class TestPeers:
     def make(self):
-        mirror, _, taken = run_script(StoreItems([A1], 4))
-        return mirror, taken
+        mirror, _, handled = run_script(StoreItems([A1], 4))
+        return mirror, handled
 
-    def test_peer_that_is_ahead_is_taken_over(self):
+    def test_mirror_of_a_peer_that_is_ahead_is_applied(self):
         mirror, _ = self.make()
         ahead, _, _ = run_script(StoreItems([A2, B1], 9))
         mirror.unpack(ahead.pack(), "peer")
         assert (mirror.get("a"), mirror.get("b"), mirror.revision) == (A2, B1, 9)
 
-    def test_peer_that_is_behind_changes_nothing(self):
+    def test_mirror_of_a_peer_that_is_behind_is_ignored(self):
         mirror, _ = self.make()
         mirror.unpack(pack_mirror(PeerMirror(3, [("z", b"1", 2)])), "peer")
         assert mirror.get("z") is None
 
-    def test_nonsense_is_refused(self):
+    def test_malformed_mirror_is_rejected(self):
         with pytest.raises(ValueError, match="can't be read"):
             self.make()[0].unpack(b"\xc1", "peer")
 
-    def test_peer_gets_what_changed_after_its_revision(self):
-        gone = Item("b", None, 8)
-        ahead, _, _ = run_script(StoreItems([A1, B1], 4), StoreItems([A2, gone], 9))
+    def test_peer_gets_the_updates_after_its_revision(self):
+        removed = Item("b", None, 8)
+        ahead, _, _ = run_script(StoreItems([A1, B1], 4), StoreItems([A2, removed], 9))
         encoded = zlib.decompress(ahead.pack(4))
         packed = msgspec.msgpack.decode(encoded, type=PeerMirror)
         assert packed == PeerMirror(9, [("b", None, 8)], 4)
@@ -194,9 +194,9 @@
         mirror.unpack(ahead.pack(4), "peer")
         assert (mirror.get("b"), mirror.revision) == (None, 9)
 
-    def test_peer_that_is_too_far_behind_gets_all(self):
-        # A relay loads the store anew and can't tell when the keys that it lacks were
-        # removed. Told only what changed, a peer would keep an instance that is gone.
+    def test_peer_that_is_too_far_behind_gets_all_items(self):
+        # A relay reloads the store and doesn't know when the missing keys were removed.
+        # If it sent only updates, a peer would keep an instance that is gone.
         ahead, _, _ = run_script(
             StoreItems([A1, B1], 4), HistoryLostError("gone"), StoreItems([A2], 9)
         )
@@ -204,9 +204,9 @@
         mirror.unpack(ahead.pack(4), "peer")
         assert (mirror.get("b"), mirror.revision) == (None, 9)
 
-    def test_changes_that_begin_after_this_mirrors_revision_are_left_aside(self):
-        # The answer to an earlier question comes late, or a peer answers nonsense. What
-        # changed in between would be missing for good.
+    def test_updates_that_begin_after_this_mirrors_revision_are_ignored(self):
+        # An answer is late, or a peer sends a wrong one. The updates in between would
+        # be missing for good.
         mirror, _ = self.make()
         mirror.unpack(pack_mirror(PeerMirror(9, [("z", b"1", 8)], 6)), "peer")
         assert (mirror.get("z"), mirror.revision) == (None, 4)
@@ -220,7 +220,7 @@
         mirror.follows_relay = lambda: True
         return runtime, store, mirror
 
-    def test_news_of_a_relay_are_fetched_and_the_store_isnt_asked(self):
+    def test_updates_are_fetched_from_a_relay_and_not_from_the_store(self):
         runtime, store, mirror = self.make()
         relay, _, _ = run_script(StoreItems([A2], 9))
         fetched = []
@@ -232,17 +232,17 @@
             return True
 
         mirror.fetch = fetch
-        mirror.note_told(9, "relay")
+        mirror.update_relay_revision(9, "relay")
         mirror.run()
         assert (fetched, store.waits) == (["relay"], [])
         assert (mirror.get("a"), mirror.revision) == (A2, 9)
 
-    def test_daemon_whose_relay_gives_nothing_goes_by_the_store(self):
-        # A relay is heard, but its link is too narrow to send its mirror in time. A key
-        # that was withdrawn would go on working behind it.
+    def test_daemon_whose_relay_sends_no_mirror_watches_the_store(self):
+        # The heartbeats of a relay arrive, but its link is too slow for a mirror. A key
+        # that was withdrawn would still be accepted behind it.
         _, store, mirror = self.make(StoreItems([A2], 9))
         mirror.fetch = lambda address: False
-        mirror.note_told(9, "relay")
+        mirror.update_relay_revision(9, "relay")
         mirror.run()
         assert store.waits[0][0] == 1
         assert mirror.get("a") == A2
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -6,7 +6,7 @@
 from bronzerelay.pooler.httpcalls import HttpCallError
 from bronzerelay.pooler.mirror import BATCH_PAUSE_MS
 from bronzerelay.pooler.placement import POSITION_VALID_MS
-from bronzerelay.pooler.primarychanges import CLOSE_ENTRIES
+from bronzerelay.pooler.primarychanges import MAX_LAG_ENTRIES
 from bronzerelay.pooler.runner import limit_statements
 from bronzerelay.runtime import Address
 from standins.linecaller import LineCaller
@@ -429,7 +429,7 @@
         primary, *replicas = fleet.platform.group.instances.values()
         for replica in replicas:
             replica.deaf = True
-        for number in range(CLOSE_ENTRIES + 5):
+        for number in range(MAX_LAG_ENTRIES + 5):
             run_ok(caller, f"STORE row{number} {number}")
         primary.leaving = True
         fleet.platform.register(primary)
--- a/tests/test_primarychanges.py
+++ b/tests/test_primarychanges.py
@@ -1,4 +1,4 @@
-"""Changes of primary: when one is due, and what its maker waits for."""
+"""Primary changes: when one is due, and what the lock holder waits for."""
 
 import msgspec
 import pytest
@@ -10,8 +10,8 @@
 from bronzerelay.pooler.placement import Placement
 from bronzerelay.pooler.primarychanges import (
     DEAD_AFTER_MS,
-    HOLD_MS,
-    LEADERLESS_MS,
+    LOCK_RECHECK_MS,
+    NO_PRIMARY_MS,
     PRIMARY_RECORD_PREFIX,
     TAKEOVER_MS,
     FleetView,
@@ -34,11 +34,11 @@
 
 
 class FakeMirror:
-    """A store with one writer at a time, which may lose answers."""
+    """A store of one key that checks revisions and may lose answers."""
 
     def __init__(self):
         self.items = {}
-        self.lose = 0
+        self.lost_answers = 0
         self.writes = []
 
     def get(self, key):
@@ -53,14 +53,14 @@
         revision = expected[KEY] + 1
         self.items[KEY] = Item(KEY, puts[KEY], revision)
         self.writes.append(msgspec.json.decode(puts[KEY], type=PrimaryRecord))
-        if self.lose:
-            self.lose -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise StoreError("the answer was lost", True)
         return revision
 
 
-class Scene:
-    """One daemon's changes on a clock that moves when anybody waits."""
+class CoordinatorHarness:
+    """The coordinator of one daemon, on a clock that advances when code sleeps."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -71,12 +71,12 @@
         self.placement = Placement(self.runtime, self.directory)
         self.mirror = FakeMirror()
         self.names = ["d1", "d2", "d3"]
-        self.known = {"d1", "d2", "d3"}
+        self.acknowledged = {"d1", "d2", "d3"}
         self.received = {FIRST: Position(1, 5), SECOND: Position(1, 9)}
-        self.leads: set[str] = set()
-        # Since when an instance has given no answer to peers.
+        self.primaries: set[str] = set()
+        # By instance, since when it hasn't answered each peer.
         self.silent_since_ms: dict[str, list[float]] = {}
-        self.orders = []
+        self.promotions = []
         self.outcome = Promotion.DONE
         self.on_sleep = lambda: None
         self.on_promote = lambda: None
@@ -92,7 +92,7 @@
             self.placement,
             FleetView(
                 lambda: self.names,
-                lambda service, epoch: self.known,
+                lambda service, epoch: self.acknowledged,
                 lambda known: len(known) * 2 > len(self.names),
                 lambda instance_id: self.silent_since_ms.get(instance_id, []),
             ),
@@ -115,14 +115,14 @@
         received = self.received.get(entry.id)
         if received is None:
             return None
-        leads = entry.id in self.leads
+        leads = entry.id in self.primaries
         return InstanceStatus(leads, 2 if leads else 1, received)
 
     def promote(self, service, instance, holder, epoch, timeout_ms):
-        self.orders.append((instance, epoch))
+        self.promotions.append((instance, epoch))
         self.on_promote()
         if self.outcome is not Promotion.NOT_RUNNING:
-            self.leads.add(instance)
+            self.primaries.add(instance)
         return self.outcome
 
     def kill_primary(self):
@@ -130,7 +130,7 @@
         for _ in range(3):
             self.placement.record_failure(entry, self.clock.now_ms())
 
-    def tend_for(self, duration_ms):
+    def run_for(self, duration_ms):
         end_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < end_ms:
             self.changes.start_due_changes()
@@ -138,220 +138,223 @@
 
 
 @pytest.fixture
-def scene():
-    return Scene()
+def harness():
+    return CoordinatorHarness()
 
 
 class TestWhen:
-    def test_healthy_primary_stays(self, scene):
-        scene.tend_for(5000)
-        assert scene.orders == []
-
-    def test_primary_that_is_dead_to_peers_alone_is_replaced(self, scene):
-        # The daemon that has to act is one of many and has sent the primary nothing
-        # since it died. Each daemon further down would wait half a second longer.
-        scene.silent_since_ms[PRIMARY] = [scene.clock.now_ms()] * 2
-        scene.tend_for(DEAD_AFTER_MS + 1500)
-        assert [order[0] for order in scene.orders] == [SECOND]
-
-    def test_primary_that_one_peer_misses_stays(self, scene):
-        # One daemon is cut off from a primary that serves all others.
-        scene.silent_since_ms[PRIMARY] = [scene.clock.now_ms()]
-        scene.tend_for(5000)
-        assert scene.orders == []
-
-    def test_dead_primary_is_replaced_by_the_one_with_most(self, scene):
-        scene.kill_primary()
-        scene.tend_for(DEAD_AFTER_MS + 2000)
-        assert scene.orders == [(SECOND, 1)]
-        assert scene.directory.find_primary(SERVICE).id == SECOND
-
-    def test_primary_that_a_peer_still_reaches_stays(self, scene):
-        # The primary is cut from this daemon only. Promoting another one would roll
-        # back what was acknowledged meanwhile.
-        scene.kill_primary()
+    def test_healthy_primary_stays(self, harness):
+        harness.run_for(5000)
+        assert harness.promotions == []
+
+    def test_primary_that_is_dead_to_peers_alone_is_replaced(self, harness):
+        # The first daemon in the ranking has sent the primary nothing since it died. If
+        # it ignored its peers, each daemon after it would wait half a second longer.
+        harness.silent_since_ms[PRIMARY] = [harness.clock.now_ms()] * 2
+        harness.run_for(DEAD_AFTER_MS + 1500)
+        assert [promotion[0] for promotion in harness.promotions] == [SECOND]
+
+    def test_primary_that_one_peer_misses_stays(self, harness):
+        # One peer is partitioned from a primary that serves all other daemons.
+        harness.silent_since_ms[PRIMARY] = [harness.clock.now_ms()]
+        harness.run_for(5000)
+        assert harness.promotions == []
+
+    def test_dead_primary_is_replaced_by_the_replica_with_the_longest_log(
+        self, harness
+    ):
+        harness.kill_primary()
+        harness.run_for(DEAD_AFTER_MS + 2000)
+        assert harness.promotions == [(SECOND, 1)]
+        assert harness.directory.find_primary(SERVICE).id == SECOND
+
+    def test_primary_that_a_peer_still_reaches_stays(self, harness):
+        # The primary is partitioned from this daemon only. Promoting a replica would
+        # roll back what was acknowledged meanwhile.
+        harness.kill_primary()
         for _ in range(40):
-            now_ms = scene.clock.now_ms()
-            scene.placement.positions_of(SERVICE).add_sample(
+            now_ms = harness.clock.now_ms()
+            harness.placement.positions_of(SERVICE).add_sample(
                 now_ms - 300, Position(1, 3)
             )
-            scene.tend_for(100)
-        assert scene.orders == []
+            harness.run_for(100)
+        assert harness.promotions == []
 
-    def test_new_primary_that_was_missed_before_stays(self, scene):
-        # The instance that leads now was cut off while it was a replica. Judged by what
-        # was missed then, it would be replaced as soon as it leads.
-        entry = scene.directory.instances[SECOND]
+    def test_failures_before_a_promotion_dont_count(self, harness):
+        # The primary was unreachable while it was a replica. If failures of that time
+        # counted, it would be replaced as soon as it is promoted.
+        entry = harness.directory.instances[SECOND]
         for _ in range(3):
-            scene.placement.record_failure(entry, scene.clock.now_ms())
-        scene.clock.sleep_ms(5000)
-        scene.directory.set_primary_record(make_primary_record(1, instance=SECOND))
-        positions = scene.placement.positions_of(SERVICE)
+            harness.placement.record_failure(entry, harness.clock.now_ms())
+        harness.clock.sleep_ms(5000)
+        harness.directory.set_primary_record(make_primary_record(1, instance=SECOND))
+        positions = harness.placement.positions_of(SERVICE)
         positions.reset()
-        scene.tend_for(DEAD_AFTER_MS - 100)
-        assert scene.orders == []
+        harness.run_for(DEAD_AFTER_MS - 100)
+        assert harness.promotions == []
 
-    def test_change_whose_holder_writes_its_record_again_is_left_to_it(self, scene):
-        # The holder waits for daemons behind a cut. A second one that begins the change
-        # anew doesn't know whether the first has ordered a promotion.
-        scene.directory.set_primary_record(
+    def test_change_whose_record_is_written_again_isnt_taken_over(self, harness):
+        # The lock holder waits for daemons behind a partition. A second daemon that
+        # took the change over couldn't know whether the first requested a promotion.
+        harness.directory.set_primary_record(
             make_primary_record(1, settled=False, holder="d9")
         )
         for revision in range(1, 12):
-            scene.mirror.items[KEY] = Item(KEY, b"", revision)
-            scene.tend_for(TAKEOVER_MS / 3)
-        assert scene.mirror.writes == []
+            harness.mirror.items[KEY] = Item(KEY, b"", revision)
+            harness.run_for(TAKEOVER_MS / 3)
+        assert harness.mirror.writes == []
 
-    def test_service_without_a_primary_gets_one(self, scene):
-        scene.directory.set_instance(make_instance(PRIMARY, claims_primary=False))
-        scene.tend_for(LEADERLESS_MS + 2000)
-        assert scene.orders == [(SECOND, 1)]
+    def test_service_without_a_primary_gets_one(self, harness):
+        harness.directory.set_instance(make_instance(PRIMARY, claims_primary=False))
+        harness.run_for(NO_PRIMARY_MS + 2000)
+        assert harness.promotions == [(SECOND, 1)]
 
-    def test_change_of_a_living_holder_is_left_to_it(self, scene):
-        scene.directory.set_primary_record(
+    def test_change_of_an_active_lock_holder_isnt_taken_over(self, harness):
+        harness.directory.set_primary_record(
             make_primary_record(4, settled=False, holder="d2")
         )
-        scene.tend_for(TAKEOVER_MS - 200)
-        assert scene.orders == []
+        harness.run_for(TAKEOVER_MS - 200)
+        assert harness.promotions == []
 
-    def test_stalled_change_is_taken_over_under_a_higher_epoch(self, scene):
-        scene.directory.set_primary_record(
+    def test_stalled_change_is_taken_over_under_a_higher_epoch(self, harness):
+        harness.directory.set_primary_record(
             make_primary_record(4, settled=False, holder="d2")
         )
-        scene.tend_for(TAKEOVER_MS + 2000)
-        assert [epoch for _, epoch in scene.orders] == [5]
+        harness.run_for(TAKEOVER_MS + 2000)
+        assert [epoch for _, epoch in harness.promotions] == [5]
 
 
 class TestSafety:
-    def start(self, scene):
-        scene.kill_primary()
-        scene.tend_for(DEAD_AFTER_MS + 2000)
+    def start(self, harness):
+        harness.kill_primary()
+        harness.run_for(DEAD_AFTER_MS + 2000)
 
-    def test_unheard_daemon_delays_by_the_lease(self, scene):
-        # One daemon is cut off and may still use the old primary.
-        scene.known = {"d1", "d2"}
+    def test_daemon_that_doesnt_acknowledge_delays_by_the_lease(self, harness):
+        # One daemon is partitioned and may still use the old primary.
+        harness.acknowledged = {"d1", "d2"}
         waited = []
-        scene.on_sleep = lambda: waited.append(scene.clock.now_ms())
-        self.start(scene)
-        assert scene.orders
+        harness.on_sleep = lambda: waited.append(harness.clock.now_ms())
+        self.start(harness)
+        assert harness.promotions
         assert waited[-1] - waited[0] >= LEASE_MS
 
-    def test_lease_counts_from_when_most_knew_of_the_change_for_good(self, scene):
-        # A daemon that knew of the change restarts and knows nothing of it for a
-        # moment. With it, one behind a cut proves the old primary's lead once more.
-        most_known_ms = []
+    def test_lease_starts_anew_when_the_quorum_is_lost_in_between(self, harness):
+        # A daemon that knew of the change restarts and has forgotten it for a moment.
+        # A partitioned daemon that hears it then gets a new proof for the old primary.
+        quorum_regained_ms = []
 
         def forget_for_a_while():
-            now_ms = scene.clock.now_ms()
-            if 600 < now_ms - begun_ms < 1000:
-                scene.known = {"d1"}
-            elif scene.known == {"d1"}:
-                scene.known = {"d1", "d2"}
-                most_known_ms.append(now_ms)
-
-        scene.known = {"d1", "d2"}
-        scene.kill_primary()
-        scene.clock.sleep_ms(DEAD_AFTER_MS)
-        begun_ms = scene.clock.now_ms() + 1000
-        scene.on_sleep = forget_for_a_while
-        ordered_ms = []
-        scene.on_promote = lambda: ordered_ms.append(scene.clock.now_ms())
-        scene.tend_for(4000)
-        assert ordered_ms[0] - most_known_ms[-1] >= LEASE_MS
-
-    def test_without_most_daemons_nothing_is_promoted(self, scene):
-        # This daemon is on the small side of a cut. The others may hear of the old
-        # primary, or make a change of their own.
-        scene.known = {"d1"}
-        self.start(scene)
-        assert scene.orders == []
-
-    def test_primary_that_was_only_cut_off_from_here_stays(self, scene):
-        # The maker of the change is in the smaller half of a cut, the primary and most
-        # daemons in the other. When the cut heals, a change would cost the commits that
-        # were acknowledged there meanwhile. The primary's entry has lapsed and comes
-        # back a second later.
-        scene.kill_primary()
-        scene.known = {"d1"}
-        begun_ms = scene.clock.now_ms()
-        entry = scene.directory.instances[PRIMARY]
+            now_ms = harness.clock.now_ms()
+            if 600 < now_ms - started_ms < 1000:
+                harness.acknowledged = {"d1"}
+            elif harness.acknowledged == {"d1"}:
+                harness.acknowledged = {"d1", "d2"}
+                quorum_regained_ms.append(now_ms)
+
+        harness.acknowledged = {"d1", "d2"}
+        harness.kill_primary()
+        harness.clock.sleep_ms(DEAD_AFTER_MS)
+        started_ms = harness.clock.now_ms() + 1000
+        harness.on_sleep = forget_for_a_while
+        promoted_ms = []
+        harness.on_promote = lambda: promoted_ms.append(harness.clock.now_ms())
+        harness.run_for(4000)
+        assert promoted_ms[0] - quorum_regained_ms[-1] >= LEASE_MS
+
+    def test_without_a_quorum_nothing_is_promoted(self, harness):
+        # This daemon is on the smaller side of a partition. The others may still use
+        # the old primary, or carry out a change of their own.
+        harness.acknowledged = {"d1"}
+        self.start(harness)
+        assert harness.promotions == []
+
+    def test_primary_that_was_unreachable_only_from_here_stays(self, harness):
+        # The lock holder is on the smaller side of a partition, the primary and most
+        # daemons on the other. A change after it heals would lose the commits that were
+        # acknowledged there meanwhile. The primary's entry was dropped and is listed
+        # again a second later.
+        harness.kill_primary()
+        harness.acknowledged = {"d1"}
+        started_ms = harness.clock.now_ms()
+        entry = harness.directory.instances[PRIMARY]
 
         def heal():
-            now_ms = scene.clock.now_ms()
-            if now_ms < begun_ms + 4500:
-                scene.directory.unlist_instance(PRIMARY)
-                scene.directory.forget_unlisted()
+            now_ms = harness.clock.now_ms()
+            if now_ms < started_ms + 4500:
+                harness.directory.unlist_instance(PRIMARY)
+                harness.directory.forget_unlisted()
                 return
-            scene.known = {"d1", "d2", "d3"}
-            scene.received[PRIMARY] = Position(1, 30)
-            scene.leads.add(PRIMARY)
-            if now_ms > begun_ms + 5500:
-                scene.directory.set_instance(entry)
-
-        scene.on_sleep = heal
-        scene.tend_for(DEAD_AFTER_MS + 1500)
-        assert scene.orders == []
-        record = scene.directory.primary_records[SERVICE]
+            harness.acknowledged = {"d1", "d2", "d3"}
+            harness.received[PRIMARY] = Position(1, 30)
+            harness.primaries.add(PRIMARY)
+            if now_ms > started_ms + 5500:
+                harness.directory.set_instance(entry)
+
+        harness.on_sleep = heal
+        harness.run_for(DEAD_AFTER_MS + 1500)
+        assert harness.promotions == []
+        record = harness.directory.primary_records[SERVICE]
         assert (record.settled, record.instance, record.deposed) == (True, PRIMARY, "")
-        assert scene.directory.find_primary(SERVICE).id == PRIMARY
+        assert harness.directory.find_primary(SERVICE).id == PRIMARY
 
-    def test_lost_answer_of_the_store_is_read_back(self, scene):
-        scene.mirror.lose = 1
-        self.start(scene)
-        assert scene.orders == [(SECOND, 1)]
+    def test_lost_answer_of_the_store_is_read_back(self, harness):
+        harness.mirror.lost_answers = 1
+        self.start(harness)
+        assert harness.promotions == [(SECOND, 1)]
 
-    def test_duty_of_another_daemon_is_respected(self, scene):
-        scene.mirror.items[KEY] = Item(KEY, b"[]", 3)
-        real = scene.mirror.compare_and_swap
+    def test_lock_of_another_daemon_is_respected(self, harness):
+        harness.mirror.items[KEY] = Item(KEY, b"[]", 3)
+        real = harness.mirror.compare_and_swap
 
         def lose_race(expected, puts, removed):
-            scene.mirror.items[KEY] = Item(KEY, b"other", 9)
-            scene.directory.set_primary_record(
-                make_primary_record(9, settled=False, holder="d2")
-            )
+            harness.mirror.items[KEY] = Item(KEY, b"other", 9)
+            harness.directory.set_primary_record(make_primary_record(9, settled=False, holder="d2"))
             return real(expected, puts, removed)
 
-        scene.mirror.compare_and_swap = lose_race
-        self.start(scene)
-        assert scene.orders == []
-
-    def test_holder_that_was_frozen_finds_out_before_it_promotes(self, scene):
-        # The holder is frozen after it took the duty; another daemon takes it over and
-        # promotes. Woken up, the first one would promote under an older epoch.
-        scene.known = {"d1", "d2"}
+        harness.mirror.compare_and_swap = lose_race
+        self.start(harness)
+        assert harness.promotions == []
+
+    def test_lock_holder_that_was_frozen_checks_its_lock_before_it_promotes(
+        self, harness
+    ):
+        # The process is frozen after it took the lock, and another daemon takes the
+        # change over and promotes. When the first one resumes, it would promote under
+        # an older epoch.
+        harness.acknowledged = {"d1", "d2"}
         state = {"frozen": False}
 
         def freeze():
             if not state["frozen"]:
                 state["frozen"] = True
-                scene.clock.sleep_ms(HOLD_MS + TAKEOVER_MS)
-                scene.mirror.items[KEY] = Item(KEY, b"other", 9)
+                harness.clock.sleep_ms(LOCK_RECHECK_MS + TAKEOVER_MS)
+                harness.mirror.items[KEY] = Item(KEY, b"other", 9)
 
-        scene.on_sleep = freeze
-        scene.announce = lambda record: None
-        scene.changes._announce = lambda record: None
-        scene.kill_primary()
+        harness.on_sleep = freeze
+        harness.announce = lambda record: None
+        harness.changes._announce = lambda record: None
+        harness.kill_primary()
         for _ in range(60):
             if not state["frozen"]:
-                scene.tend_for(100)
+                harness.run_for(100)
         assert state["frozen"]
-        assert scene.orders == []
+        assert harness.promotions == []
 
-    def test_instance_that_isnt_running_is_passed_over(self, scene):
-        scene.outcome = Promotion.NOT_RUNNING
-        self.start(scene)
-        assert {instance for instance, _ in scene.orders} == {FIRST, SECOND}
+    def test_instance_that_isnt_running_is_skipped(self, harness):
+        harness.outcome = Promotion.NOT_RUNNING
+        self.start(harness)
+        assert {instance for instance, _ in harness.promotions} == {FIRST, SECOND}
 
-    def test_outcome_is_told_though_the_store_is_out(self, scene):
-        # The store goes out between the promotion and the note of it. Callers would
-        # wait for the store though a primary leads.
-        real = scene.mirror.compare_and_swap
+    def test_new_primary_is_announced_while_the_store_is_down(self, harness):
+        # The store fails between the promotion and the write of its outcome. Callers
+        # would have to wait for the store although there is a primary.
+        real = harness.mirror.compare_and_swap
 
         def fail_second(expected, puts, removed):
-            if scene.orders:
+            if harness.promotions:
                 raise StoreError("down")
             return real(expected, puts, removed)
 
-        scene.mirror.compare_and_swap = fail_second
-        self.start(scene)
-        assert scene.directory.find_primary(SERVICE).id == SECOND
+        harness.mirror.compare_and_swap = fail_second
+        self.start(harness)
+        assert harness.directory.find_primary(SERVICE).id == SECOND
--- a/tests/test_primaryguard.py
+++ b/tests/test_primaryguard.py
@@ -1,9 +1,9 @@
-"""Whether the primary of a service may be used now."""
+"""The checks before and after each use of a primary."""
 
 import pytest
 
 from bronzerelay.codes import Code
-from bronzerelay.pooler.primaryguard import LATE_MS, LEASE_MS, PrimaryGuard
+from bronzerelay.pooler.primaryguard import LEASE_MS, STORE_PROOF_AFTER_MS, PrimaryGuard
 from standins.lineplatform import SERVICE
 from tests.builders_pooler import (
     ManualClock,
@@ -36,31 +36,31 @@
 
 class TestProof:
     def test_without_a_proof_the_primary_isnt_used(self, guard, clock):
-        # A daemon is cut off and its primary is replaced meanwhile. What it reads there
-        # is old, and what it writes there is lost.
+        # A daemon is partitioned and its primary is replaced meanwhile. What it reads
+        # there is old, and what it writes there is lost.
         assert guard.begin_use(SERVICE, "orders-0") is None
         clock.sleep_ms(LEASE_MS + 1)
         assert guard.begin_use(SERVICE, "orders-0").code is Code.ISOLATED
 
-    def test_time_frozen_counts(self, guard, clock):
+    def test_time_while_the_process_is_frozen_counts(self, guard, clock):
         clock.sleep_ms(5000)
         assert not guard.has_proof()
 
     def test_most_members_are_a_proof(self, guard, clock):
         clock.sleep_ms(5000)
         now_ms = clock.now_ms()
-        guard.note_members([now_ms, now_ms, 0, 0])
+        guard.add_member_proof([now_ms, now_ms, 0, 0])
         assert guard.has_proof()
 
     def test_half_of_the_members_are_no_proof(self, guard, clock):
-        # Four daemons in two halves: each could take the other for dead.
+        # Four daemons are split in half: each half could count the other as dead.
         clock.sleep_ms(5000)
-        guard.note_members([clock.now_ms(), 0, 0])
+        guard.add_member_proof([clock.now_ms(), 0, 0])
         assert not guard.has_proof()
 
     def test_proof_counts_from_when_it_was_asked_for(self, guard, clock):
         clock.sleep_ms(5000)
-        guard.note_members([clock.now_ms() - LEASE_MS - 1] * 3)
+        guard.add_member_proof([clock.now_ms() - LEASE_MS - 1] * 3)
         assert not guard.has_proof()
 
 
@@ -69,14 +69,14 @@
         directory.set_primary_record(make_primary_record(1, settled=False))
         assert guard.begin_use(SERVICE, "orders-0").code is Code.PRIMARY_REPLACED
 
-    def test_answer_that_came_during_a_change_isnt_believed(self, guard, directory):
-        # A write was sent before the change and its answer comes after it began. The
-        # instance that is promoted may lack it.
+    def test_answer_that_came_during_a_change_isnt_trusted(self, guard, directory):
+        # A write was sent before the change and answered after it started. The
+        # instance that is promoted may lack the write.
         assert guard.begin_use(SERVICE, "orders-0") is None
         directory.set_primary_record(make_primary_record(1, settled=False))
         assert not guard.is_still_primary(SERVICE, "orders-0")
 
-    def test_quiet_once_all_uses_have_ended(self, guard):
+    def test_idle_once_all_uses_have_ended(self, guard):
         guard.begin_use(SERVICE, "orders-0")
         assert not guard.is_idle(SERVICE)
         guard.end_use(SERVICE)
@@ -90,26 +90,28 @@
 
 class TestStoreProofs:
     def test_store_is_asked_before_the_lease_runs_out(self, guard, clock):
-        # A daemon hears of few others and goes by the store. Asked only once the last
-        # proof has run out, it leaves the daemon without one for a third of the time.
-        guard.note_members([clock.now_ms()] * 3)
+        # A daemon hears few others and gets its proofs from the store. Had the store
+        # been asked only after the last proof expired, the daemon would be without one
+        # for a third of the time.
+        guard.add_member_proof([clock.now_ms()] * 3)
         assert not guard.needs_store_proof()
-        clock.sleep_ms(LATE_MS + 1)
+        clock.sleep_ms(STORE_PROOF_AFTER_MS + 1)
         assert guard.has_proof()
         assert guard.needs_store_proof()
         guard.add_store_proof(clock.now_ms())
         assert guard.needs_store_proof()
 
 
-class TestQuiet:
-    def test_end_of_the_last_use_is_told(self, guard):
-        # A change of primary waits for what is under way at the old one. Told only with
-        # the next heartbeat, its end kept the service without a primary for longer.
-        told = []
-        guard.on_idle = told.append
+class TestIdle:
+    def test_end_of_the_last_use_is_announced(self, guard):
+        # A primary change waits for statements in progress at the old primary. When
+        # their end was announced only with the next heartbeat, the service was without
+        # a primary for longer.
+        announced = []
+        guard.on_idle = announced.append
         guard.begin_use(SERVICE, "orders-0")
         guard.begin_use(SERVICE, "orders-0")
         guard.end_use(SERVICE)
-        assert (guard.is_idle(SERVICE), told) == (False, [])
+        assert (guard.is_idle(SERVICE), announced) == (False, [])
         guard.end_use(SERVICE)
-        assert (guard.is_idle(SERVICE), told) == (True, [SERVICE])
+        assert (guard.is_idle(SERVICE), announced) == (True, [SERVICE])
