--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -341,7 +341,7 @@
 
     @pytest.fixture(autouse=True)
     def shrink(self, monkeypatch):
-        monkeypatch.setattr(contacts, "FULL_MESH", 3)
+        monkeypatch.setattr(contacts, "MAX_MESH_SIZE", 3)
 
     def start(self, fleet):
         """Return the relays and the daemons behind them."""
