--- a/bronzerelay/pooler/catchup.py
+++ b/bronzerelay/pooler/catchup.py
@@ -69,7 +69,7 @@
                 self.fetch(address)
 
     def fetch(self, address: Address) -> bool:
-        """Fetch and apply a peer's updates; return whether the peer answered."""
+        """Fetch and apply a peer's updates; return whether that succeeded."""
         client = HttpClient(self._runtime, address)
         path = f"{MIRROR_PATH}?{AFTER}={self._mirror.revision}"
         try:
--- a/bronzerelay/pooler/contacts.py
+++ b/bronzerelay/pooler/contacts.py
@@ -4,7 +4,7 @@
 first few daemons of each failure domain, by a ranking that all daemons compute alike,
 are its relays. The others exchange heartbeats only with the relays of their own domain,
 and the relays with each other. There is no election: a daemon that finds a relay silent
-also contacts the next one in the ranking, and each daemon replies to its contacts.
+also contacts the next one in the ranking, and any daemon replies when contacted.
 """
 
 from collections.abc import Callable, Iterable
--- a/bronzerelay/pooler/mirror.py
+++ b/bronzerelay/pooler/mirror.py
@@ -16,7 +16,7 @@
 from bronzerelay.runtime import Address, Runtime
 
 # How long a watch may wait at the store, in milliseconds. Updates that a lost watch
-# misses are found by polls, so the wait may be long and calls few.
+# misses are found by polls, so the wait may be long, which saves calls.
 WATCH_WAIT_MS = 14_000
 # How long it waits, in milliseconds, while primary proofs must come from the store.
 PROOF_WAIT_MS = 350
@@ -26,8 +26,8 @@
 BATCH_PAUSE_MS = 120
 # The timeout of any other call, in milliseconds.
 CALL_TIMEOUT_MS = 1_500
-# How long the store or a peer may be ahead before this mirror catches up otherwise, in
-# milliseconds: a working watch brings updates within a few.
+# How long the store or a peer may be ahead of this mirror before the watch is given up,
+# in milliseconds: a working watch brings updates within a few.
 BEHIND_MS = 400
 # How long a daemon behind a relay waits for updates before it checks again whether it
 # should still follow the relay, in milliseconds.
@@ -55,7 +55,7 @@
 
 
 class StoreItems(NamedTuple):
-    """Items of the store, whole or updated ones, and its revision at that time."""
+    """All or only updated items of the store, and its revision at that time."""
 
     items: list[Item]
     revision: int
@@ -165,7 +165,7 @@
         self.on_proof: Callable[[float], None] = lambda _: None
         # Whether this daemon follows a relay instead of watching the store.
         self.follows_relay: Callable[[], bool] = lambda: False
-        # Fetches updates from a peer; returns whether it answered.
+        # Fetches and applies updates from a peer; returns whether that succeeded.
         self.fetch: Callable[[Address], bool] = lambda _: False
         # Called when the mirror has reached a newer revision.
         self.on_change: Callable[[], None] = lambda: None
--- a/bronzerelay/pooler/primaryguard.py
+++ b/bronzerelay/pooler/primaryguard.py
@@ -47,8 +47,8 @@
         self._in_progress: dict[str, int] = {}
         # Called with a service when the last use of its primary in progress has ended.
         self.on_idle: Callable[[str], None] = lambda _: None
-        # When the newest proof from members started to count, and the newest proof
-        # from members or the store.
+        # The times as of which the newest proof from members counts, and the newest
+        # proof from either members or the store.
         self._member_proof_ms = NEVER_MS
         self._proof_ms = NEVER_MS
 
--- a/tests/builders_heartbeats.py
+++ b/tests/builders_heartbeats.py
@@ -41,7 +41,7 @@
         self._current_as_of_ms = max(self._current_as_of_ms, as_of_ms)
 
 
-class FakeDatagrams:
+class FakeDatagramSocket:
     """A UDP socket on the simulated network."""
 
     def __init__(self, network: "Network", address: Address):
@@ -60,14 +60,14 @@
     """Delivers datagrams at the next step, unless a partition separates the ends."""
 
     def __init__(self):
-        self.ports: dict[Address, FakeDatagrams] = {}
+        self.ports: dict[Address, FakeDatagramSocket] = {}
         self.is_cut = lambda sender, receiver: False
         self.sent: list[tuple[Address, Address, bytes]] = []
         self.bytes_between: dict[tuple[str, str], int] = {}
         self.domains: dict[Address, str] = {}
 
-    def open(self, address: Address) -> FakeDatagrams:
-        self.ports[address] = FakeDatagrams(self, address)
+    def open(self, address: Address) -> FakeDatagramSocket:
+        self.ports[address] = FakeDatagramSocket(self, address)
         return self.ports[address]
 
     def send(self, sender: Address, receiver: Address, data: bytes) -> None:
--- a/tests/test_primarychanges.py
+++ b/tests/test_primarychanges.py
@@ -115,8 +115,8 @@
         received = self.received.get(entry.id)
         if received is None:
             return None
-        leads = entry.id in self.primaries
-        return InstanceStatus(leads, 2 if leads else 1, received)
+        is_primary = entry.id in self.primaries
+        return InstanceStatus(is_primary, 2 if is_primary else 1, received)
 
     def promote(self, service, instance, holder, epoch, timeout_ms):
         self.promotions.append((instance, epoch))
