--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -74,7 +74,7 @@
 
 class TestTurns:
     @pytest.mark.parametrize("turn", [FIRST, Turn(3, 700.0)])
-    def test_each_daemon_polls_once_those_before_it_should_have(self, turn):
+    def test_each_daemon_polls_when_those_before_it_havent(self, turn):
         harness = PollerHarness(turn)
         limit_ms = FIRST_MS + turn.lag_ms + turn.place * STEP_MS
         harness.run(limit_ms - 10)
