--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -6,7 +6,7 @@
 from bronzerelay.pooler.httpcalls import HttpCallError
 from bronzerelay.pooler.mirror import BATCH_PAUSE_MS
 from bronzerelay.pooler.placement import POSITION_VALID_MS
-from bronzerelay.pooler.primarychanges import CLOSE_ENTRIES
+from bronzerelay.pooler.primarychanges import MAX_LAG_ENTRIES
 from bronzerelay.pooler.runner import limit_statements
 from bronzerelay.runtime import Address
 from standins.linecaller import LineCaller
@@ -341,7 +341,7 @@
 
     @pytest.fixture(autouse=True)
     def shrink(self, monkeypatch):
-        monkeypatch.setattr(contacts, "FULL_MESH", 3)
+        monkeypatch.setattr(contacts, "MAX_MESH_SIZE", 3)
 
     def start(self, fleet):
         """Return the relays and the daemons behind them."""
@@ -429,7 +429,7 @@
         primary, *replicas = fleet.platform.group.instances.values()
         for replica in replicas:
             replica.deaf = True
-        for number in range(CLOSE_ENTRIES + 5):
+        for number in range(MAX_LAG_ENTRIES + 5):
             run_ok(caller, f"STORE row{number} {number}")
         primary.leaving = True
         fleet.platform.register(primary)
