--- a/bronzerelay/buckets.py
+++ b/bronzerelay/buckets.py
@@ -1,32 +1,33 @@
-"""The tokens of one workspace at one daemon, lent and borrowed ones among them."""
+"""A token bucket of one workspace at one daemon, with loans to and from peers."""
 
 import math
 from typing import NamedTuple
 
-# While a loan may be spent its lender can't refill its place, unless the borrower asks
-# again: the life has to be well below burst / rate, a second at today's sizes. It must
-# be longer than the call that brings the loan.
+# How long a loan may be spent. Until then the lender can't refill the lent tokens,
+# unless the borrower asks again and so reports what it has spent. So the time must be
+# well below burst / rate, which is a second at today's sizes, and longer than the call
+# that brings the loan.
 LOAN_LIFE_MS = 200
-# How much of its own demand a lender keeps, and a borrower asks for in advance.
+# How far ahead a lender reserves tokens for its own demand, and a borrower borrows.
 DEMAND_WINDOW_MS = 100
-# How fast the estimate of the own demand follows a change.
-DEMAND_MEMORY_MS = 500
-# Fractions that were lent by several daemons add up to a little less than the whole.
-# What is taken too much stays as a debt.
-SUM_ERROR = 1e-9
+# How long a request counts in the estimated demand, with a weight that falls to zero.
+DEMAND_AVERAGING_MS = 500
+# Fractions of a token from several lenders may add up to a little less than a whole
+# one. Such a sum counts as a whole token, and the bucket may fall below zero by it.
+ROUNDING_ERROR = 1e-9
 
 
 class Share(NamedTuple):
-    """A daemon's part of a workspace: tokens a second, and tokens at most."""
+    """A daemon's share of a workspace's rate: tokens per second, and tokens at most."""
 
     rate: float
     burst: float
 
 
-class Lot(NamedTuple):
-    """Tokens that count until `until_ms`; `party` is whose they are on the other side.
+class LoanedTokens(NamedTuple):
+    """Tokens on loan until `until_ms`; `party` is the other side of the loan.
 
-    That is the borrowing process at the lender, and the lender at the borrower.
+    At the lender that is the borrowing process, at the borrower it is the lender.
     """
 
     amount: float
@@ -35,9 +36,10 @@
 
 
 class LoanRequest(NamedTuple):
-    """What a borrower asks for, and how many tokens of this lender it holds still.
+    """The tokens that a borrower asks for, and those of this lender that it still has.
 
-    `process` is a new name at each start, and `number` grows with each request of it.
+    `process` is a name that is new at each start of the borrowing daemon; `number`
+    increases with each request of that process.
     """
 
     workspace: str
@@ -48,136 +50,141 @@
 
 
 class Bucket:
-    """The tokens of one workspace at one daemon; the owner holds the lock."""
+    """One workspace's tokens at one daemon; the account's lock must be held."""
 
     def __init__(self, now_ms: float):
         self.share = Share(0.0, 0.0)
         self._tokens = 0.0
         self._filled_at_ms = now_ms
-        self._lent: list[Lot] = []
-        self._borrowed: list[Lot] = []
-        # The highest number heard of each borrowing process.
-        self._heard: dict[str, int] = {}
+        self._lent: list[LoanedTokens] = []
+        self._borrowed: list[LoanedTokens] = []
+        # The highest request number received from each borrowing process.
+        self._last_numbers: dict[str, int] = {}
         self._demand = 0.0
         self._demand_at_ms = now_ms
 
     def set_share(self, share: Share, now_ms: float) -> None:
-        """Take a new part; tokens above a smaller one are gone at once."""
+        """Set a new share, and drop the tokens that exceed a smaller burst."""
         self._fill(now_ms)
         self.share = share
         room = max(0.0, share.burst - self._sum_lent())
         self._tokens = min(self._tokens, room)
 
     def start_empty(self, now_ms: float, from_ms: float) -> None:
-        """Begin with no tokens, and fill up only from `from_ms` on."""
+        """Start without tokens, and fill up only from `from_ms` on."""
         self._tokens = 0.0
         self._filled_at_ms = max(now_ms, from_ms)
 
     def _fill(self, now_ms: float) -> None:
-        self._lent = [lot for lot in self._lent if lot.until_ms > now_ms]
-        self._borrowed = [lot for lot in self._borrowed if lot.until_ms > now_ms]
+        self._lent = [loan for loan in self._lent if loan.until_ms > now_ms]
+        self._borrowed = [loan for loan in self._borrowed if loan.until_ms > now_ms]
         elapsed_ms = now_ms - self._filled_at_ms
         if elapsed_ms <= 0:
             return
         room = self.share.burst - self._sum_lent()
-        grown = self._tokens + elapsed_ms * self.share.rate / 1000
-        self._tokens = max(0.0, min(room, grown))
+        filled = self._tokens + elapsed_ms * self.share.rate / 1000
+        self._tokens = max(0.0, min(room, filled))
         self._filled_at_ms = now_ms
 
     def _sum_lent(self) -> float:
-        return sum(lot.amount for lot in self._lent)
+        return sum(loan.amount for loan in self._lent)
 
-    def fits_share(self, now_ms: float) -> bool:
-        """Return whether the loans that may be spent still are within the burst."""
+    def loans_fit(self, now_ms: float) -> bool:
+        """Return whether the loans that may still be spent are within the burst."""
         self._fill(now_ms)
         return self._sum_lent() <= self.share.burst
 
     def lent_until_ms(self) -> float:
-        """Return when the last loan lapses; one that has lapsed counts too."""
-        return max((lot.until_ms for lot in self._lent), default=0.0)
+        """Return when the last loan expires, which may be in the past."""
+        return max((loan.until_ms for loan in self._lent), default=0.0)
 
     def note_demand(self, now_ms: float) -> None:
-        """Count one request towards the demand, in requests a second."""
+        """Count one request in the estimated demand, in requests per second."""
         elapsed_ms = now_ms - self._demand_at_ms
-        kept = max(0.0, 1.0 - elapsed_ms / DEMAND_MEMORY_MS)
-        self._demand = self._demand * kept + 1000 / DEMAND_MEMORY_MS
+        weight = max(0.0, 1.0 - elapsed_ms / DEMAND_AVERAGING_MS)
+        self._demand = self._demand * weight + 1000 / DEMAND_AVERAGING_MS
         self._demand_at_ms = now_ms
 
     def expected_demand(self, now_ms: float) -> float:
-        """Return how many requests to expect within `DEMAND_WINDOW_MS`."""
-        kept = max(0.0, 1.0 - (now_ms - self._demand_at_ms) / DEMAND_MEMORY_MS)
-        return self._demand * kept * DEMAND_WINDOW_MS / 1000
+        """Return how many requests are expected within `DEMAND_WINDOW_MS`."""
+        weight = max(0.0, 1.0 - (now_ms - self._demand_at_ms) / DEMAND_AVERAGING_MS)
+        return self._demand * weight * DEMAND_WINDOW_MS / 1000
 
     def try_spend(self, now_ms: float) -> bool:
-        """Spend one token, borrowed ones first; return whether there was one."""
+        """Spend one token, borrowed ones first; return False if there is none."""
         self._fill(now_ms)
-        available = self._tokens + sum(lot.amount for lot in self._borrowed)
-        if available < 1.0 - SUM_ERROR:
+        available = self._tokens + sum(loan.amount for loan in self._borrowed)
+        if available < 1.0 - ROUNDING_ERROR:
             return False
         missing = 1.0
         while missing > 0 and self._borrowed:
-            lot = self._borrowed.pop(0)
-            used = min(missing, lot.amount)
+            loan = self._borrowed.pop(0)
+            used = min(missing, loan.amount)
             missing -= used
-            if lot.amount > used:
-                self._borrowed.insert(0, lot._replace(amount=lot.amount - used))
+            if loan.amount > used:
+                self._borrowed.insert(0, loan._replace(amount=loan.amount - used))
         self._tokens -= missing
         return True
 
     def lend(self, request: LoanRequest, now_ms: float) -> tuple[float, float]:
-        """Take up to the amount out for a peer; return it and what is left to lend."""
+        """Lend a peer up to the requested amount.
+
+        Return the lent amount and what is left to lend.
+        """
         self._fill(now_ms)
-        self._release(request)
-        lent = self._offer(request.amount, now_ms)
+        self._end_spent_loans(request)
+        lent = self._limit_loan(request.amount, now_ms)
         if lent <= 0:
             return 0.0, max(0.0, self._tokens)
         self._tokens -= lent
-        self._lent.append(Lot(lent, now_ms + LOAN_LIFE_MS, request.process))
+        self._lent.append(LoanedTokens(lent, now_ms + LOAN_LIFE_MS, request.process))
         return lent, max(0.0, self._tokens)
 
-    def _offer(self, amount: float, now_ms: float) -> float:
-        """Return how many tokens to lend of `amount`.
+    def _limit_loan(self, amount: float, now_ms: float) -> float:
+        """Return how many of `amount` tokens to lend.
 
-        A part of a token is lent only to who asks for one: what it can't make up to a
-        whole lapses there and is lost to the workspace.
+        A fraction of a token is lent only to a borrower that asks for a fraction.
+        Another borrower may not be able to complete it to a whole token, and it would
+        expire there unused.
         """
-        if amount < 1.0 - SUM_ERROR:
+        if amount < 1.0 - ROUNDING_ERROR:
             return min(amount, self._tokens)
-        whole = math.floor(self._tokens + SUM_ERROR)
+        whole = math.floor(self._tokens + ROUNDING_ERROR)
         reserved = min(self.expected_demand(now_ms), self._tokens / 2)
-        # A request that waits at the borrower goes before those expected here.
+        # A request that waits at the borrower has priority over expected ones here.
         spare = max(min(whole, 1), math.floor(self._tokens - reserved))
-        return min(math.ceil(amount - SUM_ERROR), spare)
+        return min(math.ceil(amount - ROUNDING_ERROR), spare)
 
-    def _release(self, request: LoanRequest) -> None:
-        """Give up the places of loans that the borrower has spent or never got.
+    def _end_spent_loans(self, request: LoanRequest) -> None:
+        """End the loans whose tokens the borrower has spent or never received.
 
-        It asks again only when the answer before has come or is given up for good. A
-        request that was overtaken by a later one would release what that one got.
+        The borrower asks again only after the previous answer has arrived or has been
+        given up. A request that was overtaken by a later one must be ignored: it would
+        end the loan made for the later one.
         """
-        if request.number <= self._heard.get(request.process, 0):
+        if request.number <= self._last_numbers.get(request.process, 0):
             return
-        self._heard[request.process] = request.number
-        kept = []
+        self._last_numbers[request.process] = request.number
+        remaining = []
         held = request.held
-        for lot in reversed(self._lent):
-            if lot.party == request.process:
-                lot = lot._replace(amount=min(lot.amount, held))
-                held -= lot.amount
-            if lot.amount > 0:
-                kept.append(lot)
-        self._lent = kept[::-1]
+        for loan in reversed(self._lent):
+            if loan.party == request.process:
+                loan = loan._replace(amount=min(loan.amount, held))
+                held -= loan.amount
+            if loan.amount > 0:
+                remaining.append(loan)
+        self._lent = remaining[::-1]
 
     def receive(self, amount: float, until_ms: float, lender: str) -> None:
         """Add borrowed tokens that may be spent until `until_ms`."""
-        self._borrowed.append(Lot(amount, until_ms, lender))
+        self._borrowed.append(LoanedTokens(amount, until_ms, lender))
 
-    def held_of(self, lender: str, now_ms: float) -> float:
-        """Return how many tokens of a lender could be spent now."""
+    def held_from(self, lender: str, now_ms: float) -> float:
+        """Return how many borrowed tokens of a lender can be spent now."""
         self._fill(now_ms)
-        return sum(lot.amount for lot in self._borrowed if lot.party == lender)
+        return sum(loan.amount for loan in self._borrowed if loan.party == lender)
 
     def available(self, now_ms: float) -> float:
-        """Return how many tokens could be spent now."""
+        """Return how many tokens can be spent now."""
         self._fill(now_ms)
-        return self._tokens + sum(lot.amount for lot in self._borrowed)
+        return self._tokens + sum(loan.amount for loan in self._borrowed)
--- a/bronzerelay/gossip.py
+++ b/bronzerelay/gossip.py
@@ -180,14 +180,14 @@
 
     # The other side of a fetch
 
-    def give_config(self, known_version: int) -> Record:
+    def make_config_record(self, known_version: int) -> Record:
         """Return the record in force if it is newer than `known_version`."""
         record = self._store.record
         if record is None or record["version"] <= known_version:
             return Record(version=self._store.version, value=b"")
         return Record(version=record["version"], value=msgspec.json.encode(record))
 
-    def give_roster(self, known_epoch: int) -> Record:
+    def make_roster_record(self, known_epoch: int) -> Record:
         """Return the roster if it is newer than `known_epoch`."""
         roster = self._membership.roster
         if roster["epoch"] <= known_epoch:
--- a/bronzerelay/kernel.py
+++ b/bronzerelay/kernel.py
@@ -1,4 +1,4 @@
-"""The kernel: takes a caller's request from its key to its answer."""
+"""The kernel: authenticates, admits and runs a caller's request."""
 
 from typing import Any
 
@@ -33,14 +33,14 @@
 
 LOAN_TIMEOUT_MS = 150
 WRITE_ID_BYTES = 12
-STOP_RETRY_MS = 50
-ISOLATED_RETRY_MS = 1000
+STOPPING_RETRY_AFTER_MS = 50
+ISOLATED_RETRY_AFTER_MS = 1000
 
 _request_decoder = msgspec.json.Decoder(StatementRequest)
 
 
 class Kernel:
-    """Admits requests, spends the workspace's rate, and routes to the group."""
+    """Admits requests, charges the workspace's rate, and routes to the group."""
 
     def __init__(
         self,
@@ -80,45 +80,48 @@
     # Admission
 
     def check_admission(self) -> Result[None, Refusal]:
-        """Return Ok when this daemon may run requests now."""
+        """Return Ok if this daemon may run requests now."""
         if self.stopping:
             message = "The daemon is stopping."
-            return refuse(Code.STOPPING, message, STOP_RETRY_MS)
+            return refuse(Code.STOPPING, message, STOPPING_RETRY_AFTER_MS)
         if self._store.current is None:
             message = "No configuration is in force yet."
-            return refuse(Code.NO_CONFIGURATION, message, ISOLATED_RETRY_MS)
+            return refuse(Code.NO_CONFIGURATION, message, ISOLATED_RETRY_AFTER_MS)
         if self._membership.is_isolated():
             message = "Neither the platform nor most daemons can be reached."
-            return refuse(Code.ISOLATED, message, ISOLATED_RETRY_MS)
+            return refuse(Code.ISOLATED, message, ISOLATED_RETRY_AFTER_MS)
         return Ok(None)
 
     def check_ready(self) -> Result[None, Refusal]:
-        """Return Ok when the balancer should send callers here.
+        """Return Ok if the load balancer should send callers here.
 
-        A daemon that is about to stop still runs what comes, but wants no more.
+        A daemon that is about to stop still runs the requests that it receives, but
+        it reports that it isn't ready.
         """
         if not self._membership.is_alive(self._membership.name):
-            return refuse(Code.STOPPING, "The daemon is stopping.", STOP_RETRY_MS)
+            return refuse(
+                Code.STOPPING, "The daemon is stopping.", STOPPING_RETRY_AFTER_MS
+            )
         name = self._membership.name
         in_roster = name in self._membership.member_names()
-        if not in_roster or not self.shares.has_begun():
+        if not in_roster or not self.shares.are_ready():
             message = "The daemon has no share of the rates yet."
-            return refuse(Code.NO_CONFIGURATION, message, ISOLATED_RETRY_MS)
+            return refuse(Code.NO_CONFIGURATION, message, ISOLATED_RETRY_AFTER_MS)
         return self.check_admission()
 
     def run_statement(
         self, workspace: str, key: str, request: StatementRequest, request_id: str
     ) -> Result[StatementAnswer, Refusal]:
-        """Run a caller's request, or say why not and whether it ran."""
+        """Run a caller's request; a refusal says whether the request ran."""
         started_ms = self._runtime.clock.now_ms()
         result = self._admit_and_run(workspace, key, request, request_id)
-        self._log_end("A request ended.", workspace, request_id, result)
+        self._log_result("A request ended.", workspace, request_id, result)
         if result.is_ok():
-            took_ms = self._runtime.clock.now_ms() - started_ms
-            self._metrics.record_latency(workspace, request["group"], took_ms)
+            duration_ms = self._runtime.clock.now_ms() - started_ms
+            self._metrics.record_latency(workspace, request["group"], duration_ms)
         return result
 
-    def _log_end(
+    def _log_result(
         self, message: str, workspace: str, trace_id: str, result: Result
     ) -> None:
         if not self._log.isEnabledFor(logs.DEBUG):
@@ -130,20 +133,21 @@
     def _admit_and_run(
         self, workspace: str, key: str, request: StatementRequest, trace_id: str
     ) -> Result[StatementAnswer, Refusal]:
-        # A transaction that is open may end while the daemon stops; it cuts none.
+        # An open transaction may still run and end while the daemon stops.
         admitted = self.check_admission()
-        if not admitted.is_ok() and not self._may_end(admitted.error, request):
+        if not admitted.is_ok() and not self._may_continue(admitted.error, request):
             return admitted
         checked = self._store.check_key(workspace, key)
         if not checked.is_ok():
             return checked
-        found = self._store.find_group(checked.ok, request["group"])
-        if not found.is_ok():
-            return found
+        group = self._store.find_group(checked.ok, request["group"])
+        if not group.is_ok():
+            return group
         session = decode_session(request.get("session", ""))
         if not session.is_ok():
             return session
-        # Ending a transaction is free: refusing it would only hold what it holds.
+        # A commit or rollback costs no token: a refusal would only make the
+        # transaction hold its connection longer.
         if request.get("action") not in ("commit", "rollback"):
             spent = self.shares.spend(workspace)
             if not spent.is_ok():
@@ -151,23 +155,26 @@
         work = self._make_work(workspace, request, session.ok)
         return self._router.route(work._replace(trace_id=trace_id))
 
-    def _may_end(self, refusal: Refusal, request: StatementRequest) -> bool:
+    def _may_continue(self, refusal: Refusal, request: StatementRequest) -> bool:
         return refusal.code == Code.STOPPING and "transaction" in request
 
     def _make_work(
         self, workspace: str, request: StatementRequest, session: Session
     ) -> Work:
         limit_ms = self._settings.max_deadline_ms
-        asked_ms = request.get("deadline_ms", self._settings.default_deadline_ms)
-        deadline_ms = self._runtime.clock.now_ms() + min(asked_ms, limit_ms)
-        # The caller's request id may repeat; the id of a write never does.
+        requested_ms = request.get("deadline_ms", self._settings.default_deadline_ms)
+        deadline_ms = self._runtime.clock.now_ms() + min(requested_ms, limit_ms)
+        # Callers may reuse a request id, so each write gets an id of its own.
         write_id = self._runtime.random.randbytes(WRITE_ID_BYTES).hex()
         return Work(write_id, workspace, request, session, deadline_ms)
 
     # Serving
 
     def run_here(self, work: Work, settle: bool) -> Result[StatementAnswer, Refusal]:
-        """Run `work` on the group from this daemon."""
+        """Run `work` on the group from this daemon.
+
+        With `settle`, only determine the outcome of a write whose daemon was lost.
+        """
         group = self._groups.find(work.group)
         if group is None:
             message = f"{self._membership.name} doesn't know group {work.group!r}."
@@ -183,7 +190,7 @@
             return group.write(work)
         return group.read(work)
 
-    # What peers call
+    # Calls from peers
 
     def beat(self, beat: Any) -> Any:
         """Answer a heartbeat with what this daemon knows."""
@@ -205,11 +212,11 @@
         )
         result = self.run_here(work, bool(call.settle))
         message = "A forwarded request ended."
-        self._log_end(message, work.workspace, work.trace_id, result)
+        self._log_result(message, work.workspace, work.trace_id, result)
         return pack_reply(result)
 
     def lend(self, call: LoanCall) -> LoanReply:
-        """Lend a peer tokens of a workspace."""
+        """Lend a peer tokens of a workspace's rate."""
         request = LoanRequest(
             call.workspace, call.amount, call.process, call.number, call.held
         )
@@ -217,12 +224,12 @@
         return LoanReply(amount=loan.amount, spare=loan.spare)
 
     def fetch_config(self, known_version: int) -> Record:
-        """Give a peer the configuration in force."""
-        return self._gossip.give_config(known_version)
+        """Return the configuration in force, if it is newer than the peer's."""
+        return self._gossip.make_config_record(known_version)
 
     def fetch_roster(self, known_epoch: int) -> Record:
-        """Give a peer the roster."""
-        return self._gossip.give_roster(known_epoch)
+        """Return the roster, if it is newer than the peer's."""
+        return self._gossip.make_roster_record(known_epoch)
 
     def _ask_for_loan(self, lender: str, request: LoanRequest) -> Loan | None:
         address = self._membership.address_of(lender)
@@ -237,7 +244,7 @@
 
 
 class PeerHandler:
-    """The kernel under the names of the thrift service."""
+    """Exposes the kernel's methods under the names of the thrift service."""
 
     def __init__(self, kernel: Kernel):
         self.beat = kernel.beat
--- a/bronzerelay/membership.py
+++ b/bronzerelay/membership.py
@@ -67,19 +67,19 @@
 
     # The own view
 
-    def note_platform(self, sent_at_ms: float) -> None:
+    def note_platform_answer(self, sent_at_ms: float) -> None:
         """Note that a request sent to the platform at `sent_at_ms` was answered."""
         with self._lock:
             latest = max(self._own.platform_at_ms, sent_at_ms)
             self._own = self._own._replace(platform_at_ms=latest)
             self._platform_at_ms = max(self._platform_at_ms, latest)
 
-    def note_config(self, version: int) -> None:
+    def note_config_version(self, version: int) -> None:
         """Note the version of the configuration that is in force here."""
         with self._lock:
             self._own = self._own._replace(config_version=version)
 
-    def note_applied(self, epoch: int) -> None:
+    def note_applied_epoch(self, epoch: int) -> None:
         """Note the roster epoch whose shares are in force here."""
         with self._lock:
             applied = max(self._own.applied_epoch, epoch)
--- a/bronzerelay/policies.py
+++ b/bronzerelay/policies.py
@@ -1,9 +1,8 @@
-"""The policies: what a daemon may decide in one way or another, as plain functions.
+"""The policies: the decisions that can be exchanged, as plain functions.
 
-"fair" keeps every promise of the system and is what a daemon uses. "naive" is the
-baseline of the benchmarks: the least that a proxy could do. It breaks promises, for it
-acknowledges writes that a failover loses and lets one workspace crowd out the others,
-so that it must never serve anyone.
+"fair" keeps every promise of the system and is the default. "naive" is the baseline of
+the benchmarks, a minimal proxy. It must never be used in production: it acknowledges
+writes that a failover loses, and lets one workspace crowd out the others.
 """
 
 from collections.abc import Callable
@@ -19,14 +18,15 @@
 
 
 class Policy(NamedTuple):
-    """The behaviour that varies.
+    """The decisions that depend on the policy.
 
-    `list_replicas` returns which of the instances may serve reads as replicas;
-    `wait_acknowledged` returns whether a write may be acknowledged, or be shown by a
-    primary, and `wait_proven` whether the age of what was read is proved, both given
-    how long they may wait; `list_holders` which daemons hold a part of a workspace's
-    rate, and `list_lenders` which of these a daemon borrows from; `name_queue` the line
-    in which a workspace's requests wait for a slot.
+    `list_replicas` returns the instances that may serve reads as replicas.
+    `wait_acknowledged` waits up to a timeout, and returns whether a write may be
+    acknowledged or returned by a read of the primary. `wait_proven` waits up to a
+    timeout, and returns whether the age of the data that was read is proven.
+    `list_holders` returns the daemons that hold a share of a workspace's rate, and
+    `list_lenders` those of them that a daemon may borrow from. `name_queue` returns the
+    name of the queue in which a workspace's requests wait for a slot.
     """
 
     list_replicas: Callable[[list[str]], list[str]]
@@ -54,8 +54,9 @@
 def make_naive_policy() -> Policy:
     """Return the baseline of the benchmarks, which breaks promises.
 
-    Reads go to the primary alone, whose word is enough for them and for a write; a
-    rate is split evenly over all daemons without loans; slots go to whoever came first.
+    Reads go to the primary only, and the primary's answer alone acknowledges a read or
+    a write. A rate is split evenly over all daemons, without loans. Slots are assigned
+    in the order of arrival.
     """
     return Policy(
         list_replicas=lambda names: [],
@@ -68,5 +69,5 @@
 
 
 def make_policy(name: str) -> Policy:
-    """Return the policy registered as `name`; raise LookupError with the choices."""
+    """Return the policy registered as `name`; raise LookupError if there is none."""
     return registry.find(registry.POLICY, name)()
--- a/bronzerelay/routing.py
+++ b/bronzerelay/routing.py
@@ -1,4 +1,4 @@
-"""Routing: which daemon runs a request, and what follows when it is lost."""
+"""Routing: forwards requests to the serving daemons, and handles lost replies."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,47 +15,47 @@
 from bronzerelay.retries import RetryBudget
 from bronzerelay.runtime import Runtime
 from bronzerelay.transactions import (
-    daemon_of,
-    explain_commit,
-    name_commit,
-    refuse_unknown,
+    explain_lost_commit,
+    holder_of,
+    refuse_unknown_transaction,
+    with_commit_id,
 )
 from bronzerelay.types import StatementAnswer
 from bronzerelay.work import Work
 
-# How many daemons are tried for a request that the first ones didn't run.
-DAEMONS_TRIED = 3
-STOP_RETRY_MS = 50
-NOBODY_RETRY_MS = 1000
-# A reply needs this long on top of what the serving daemon may take.
+# At most this many daemons are tried for a request that hasn't run yet.
+MAX_DAEMONS_TRIED = 3
+LOST_RETRY_AFTER_MS = 50
+NO_DAEMON_RETRY_AFTER_MS = 1000
+# How long to wait for a reply beyond the time budget of the serving daemon.
 REPLY_MARGIN_MS = 100
-# Refusals after which another daemon may do better: nothing ran, and the cause lies
+# Refusals after which another daemon may succeed: nothing ran, and the cause lies
 # with the daemon or its view of the group.
-ELSEWHERE_CODES = {
+RETRYABLE_CODES = {
     Code.ENDPOINT_UNREACHABLE,
     Code.TOO_STALE,
     Code.STOPPING,
     Code.GROUP_UNKNOWN,
 }
-# Of these, the ones after which the daemon has spent work on the endpoints.
-WORKED_CODES = {Code.ENDPOINT_UNREACHABLE, Code.TOO_STALE}
-# What a daemon that finds out about a lost write may say that it has not run.
+# Of these, the refusals that may come after the daemon has tried the endpoints.
+ENDPOINT_TRIED_CODES = {Code.ENDPOINT_UNREACHABLE, Code.TOO_STALE}
+# Refusals that prove that a lost write has not run.
 SETTLED_CODES = {Code.PRIMARY_REPLACED, Code.IDEMPOTENCY_CONFLICT}
-# How long one daemon may take for that before the next one is asked.
-FIND_OUT_MS = 600
-FIND_OUT_PAUSE_MS = 10
-# After these a commit's transaction is not open any more, committed or not.
+# How long one daemon may take to settle a lost write before the next one is asked.
+SETTLE_TIMEOUT_MS = 600
+SETTLE_RETRY_MS = 10
+# After these refusals of a commit its transaction has ended, committed or not.
 ENDED_CODES = {Code.PEER_UNREACHABLE, Code.TRANSACTION_UNKNOWN}
-ROLL_BACK_MS = 300
-# A longer token is not one of ours.
-TRANSACTION_LENGTH = 128
+ROLL_BACK_TIMEOUT_MS = 300
+# A longer transaction token can't have been issued by a daemon.
+MAX_TOKEN_LENGTH = 128
 
 
 class Router:
-    """Passes requests on to the daemons that serve their groups.
+    """Forwards requests to the daemons that serve their groups.
 
-    `run_here` runs a request at this daemon, or only finds out what became of it;
-    `spend` takes a token of a workspace's rate.
+    `run_here` runs a request at this daemon or, if its second argument is true, only
+    determines its outcome; `spend` spends a token of a workspace's rate.
     """
 
     def __init__(
@@ -78,71 +78,75 @@
         self._budget = RetryBudget(runtime)
 
     def route(self, work: Work) -> Result[StatementAnswer, Refusal]:
-        """Run `work` at the daemon that serves its group, or the next that can."""
+        """Run `work` at its group's serving daemon, or the next one that can."""
         if "transaction" in work.request:
             return self._run_in_transaction(work)
         self._budget.count_request()
         result: Result = refuse(
-            Code.PEER_UNREACHABLE, "No daemon serves the group.", NOBODY_RETRY_MS
+            Code.PEER_UNREACHABLE,
+            "No daemon serves the group.",
+            NO_DAEMON_RETRY_AFTER_MS,
         )
-        ranked = self._groups.rank_daemons(work.group)[:DAEMONS_TRIED]
+        ranked = self._groups.rank_daemons(work.group)[:MAX_DAEMONS_TRIED]
         for number, daemon in enumerate(ranked, start=1):
             result = self._run_at(daemon, work, False)
             if result.is_ok():
                 return result
-            if is_write(work) and _was_lost(result.error):
-                # A read may run twice. A write may not: from now on the other
-                # daemons only find out what became of it.
+            if is_write(work) and _was_reply_lost(result.error):
+                # A read may run twice, a write may not: from here on the other
+                # daemons only determine its outcome.
                 self._metrics.count_retry("peer_lost")
-                return self._find_out(work, daemon)
-            if not self._may_try_elsewhere(result.error, number):
+                return self._settle(work, daemon)
+            if not self._may_try_next(result.error, number):
                 return result
-            if self._is_late(work):
+            if self._is_past_deadline(work):
                 break
-        # A read or a begin whose answer is lost has had no effect, wherever it ran.
+        # A read or a begin whose answer is lost has no effect, even if it ran.
         return Error(result.error._replace(ran=NOT_RUN))
 
-    def _may_try_elsewhere(self, refusal: Refusal, attempt: int) -> bool:
+    def _may_try_next(self, refusal: Refusal, attempt: int) -> bool:
         if refusal.code == Code.PEER_UNREACHABLE:
-            if _was_lost(refusal):
+            if _was_reply_lost(refusal):
                 self._metrics.count_retry("peer_lost")
             return True
-        if refusal.code not in ELSEWHERE_CODES:
+        if refusal.code not in RETRYABLE_CODES:
             return False
-        # The daemon has spent its own retries on the endpoints. Without a budget the
-        # next ones would spend theirs too, and multiply the work of a failing group.
-        did_work = refusal.code in WORKED_CODES
-        if did_work and not self._budget.allow(attempt):
+        # The daemon has already spent its own retries on the endpoints. Without a
+        # retry budget each further daemon would do the same and multiply the load on
+        # a failing group.
+        endpoint_tried = refusal.code in ENDPOINT_TRIED_CODES
+        if endpoint_tried and not self._budget.allow(attempt):
             return False
         self._metrics.count_retry("elsewhere")
         return True
 
-    def _is_late(self, work: Work) -> bool:
+    def _is_past_deadline(self, work: Work) -> bool:
         return work.deadline_ms <= self._runtime.clock.now_ms()
 
-    def _find_out(self, work: Work, lost: str) -> Result[StatementAnswer, Refusal]:
-        """Let other daemons find out what became of a write that `lost` was given.
+    def _settle(self, work: Work, lost: str) -> Result[StatementAnswer, Refusal]:
+        """Determine the outcome of a write that was sent to daemon `lost`.
 
-        Only their finding counts. A refusal for any other reason, as from a daemon
-        that doesn't know the group yet, says nothing about the write. One that can't
-        reach the group gets a part of the time, so that the next one still has some.
+        Only success or a code of `SETTLED_CODES` is an outcome. Any other refusal,
+        such as one from a daemon that doesn't know the group yet, proves nothing about
+        the write. Each daemon gets only a part of the time, because one that can't
+        reach the group must leave time for the next.
         """
-        while not self._is_late(work):
+        while not self._is_past_deadline(work):
             ranked = self._groups.rank_daemons(work.group)
-            # The lost one may be frozen and would cost time; it is asked last.
+            # The lost daemon may be frozen and use up the time, so it is asked last.
             ranked.sort(key=lambda daemon: daemon == lost)
-            for daemon in ranked[:DAEMONS_TRIED]:
-                slice_end_ms = self._runtime.clock.now_ms() + FIND_OUT_MS
-                deadline_ms = min(work.deadline_ms, slice_end_ms)
-                part = work._replace(deadline_ms=deadline_ms)
-                result = self._run_at(daemon, part, True)
+            for daemon in ranked[:MAX_DAEMONS_TRIED]:
+                attempt_end_ms = self._runtime.clock.now_ms() + SETTLE_TIMEOUT_MS
+                deadline_ms = min(work.deadline_ms, attempt_end_ms)
+                attempt = work._replace(deadline_ms=deadline_ms)
+                result = self._run_at(daemon, attempt, True)
                 if result.is_ok() or result.error.code in SETTLED_CODES:
                     return result
-                if self._is_late(work):
+                if self._is_past_deadline(work):
                     break
-            self._runtime.sleep_ms(FIND_OUT_PAUSE_MS)
+            self._runtime.sleep_ms(SETTLE_RETRY_MS)
         message = "The serving daemon was lost, and the outcome isn't known."
-        return refuse(Code.OUTCOME_UNKNOWN, message, STOP_RETRY_MS, UNKNOWN)
+        return refuse(Code.OUTCOME_UNKNOWN, message, LOST_RETRY_AFTER_MS, UNKNOWN)
 
     def _run_at(
         self, daemon: str, work: Work, settle: bool
@@ -170,21 +174,23 @@
         if error.is_unreachable:
             self._membership.mark_unreachable(daemon, error.message)
         ran = UNKNOWN if error.may_have_run else NOT_RUN
-        return refuse(Code.PEER_UNREACHABLE, f"{error.message}.", STOP_RETRY_MS, ran)
+        return refuse(
+            Code.PEER_UNREACHABLE, f"{error.message}.", LOST_RETRY_AFTER_MS, ran
+        )
 
     # Transactions
 
     def _run_in_transaction(self, work: Work) -> Result[StatementAnswer, Refusal]:
-        """Run a request at the daemon that holds its transaction."""
-        if len(work.request["transaction"]) > TRANSACTION_LENGTH:
-            return refuse_unknown()
-        holder = daemon_of(work.request["transaction"])
+        """Run a request at the daemon that holds its transaction open."""
+        if len(work.request["transaction"]) > MAX_TOKEN_LENGTH:
+            return refuse_unknown_transaction()
+        holder = holder_of(work.request["transaction"])
         if work.request.get("action") == "commit":
-            return self._commit(holder, name_commit(work))
+            return self._commit(holder, with_commit_id(work))
         result = self._run_at(holder, work, False)
         if result.is_ok() or result.error.code != Code.PEER_UNREACHABLE:
             return result
-        if _was_lost(result.error):
+        if _was_reply_lost(result.error):
             self._roll_back(holder, work)
         message = (
             f"The daemon that held the transaction is lost: {result.error.message}"
@@ -192,40 +198,40 @@
         return refuse(Code.TRANSACTION_LOST, message)
 
     def _roll_back(self, holder: str, work: Work) -> None:
-        """End a transaction whose caller is about to hear that it is lost.
+        """Roll back a transaction that the caller is about to be told is lost.
 
-        The holder may live on with the transaction open. A commit with its token
-        would then keep what the caller was told is gone.
+        The holder may still be up with the transaction open. A later commit with the
+        same token would then store changes that were reported as lost.
         """
         request = {"group": work.group, "transaction": work.request["transaction"]}
-        deadline_ms = self._runtime.clock.now_ms() + ROLL_BACK_MS
-        ending = work._replace(
+        deadline_ms = self._runtime.clock.now_ms() + ROLL_BACK_TIMEOUT_MS
+        rollback = work._replace(
             request={**request, "action": "rollback"}, deadline_ms=deadline_ms
         )
-        self._run_at(holder, ending, False)
+        self._run_at(holder, rollback, False)
 
     def _commit(self, holder: str, work: Work) -> Result[StatementAnswer, Refusal]:
-        """Commit at the holder, or find out what became of the commit.
+        """Commit at the holder; if its reply is lost, determine the outcome.
 
-        A holder that knows the transaction no more may have committed it for an
-        earlier request, the answer to which the caller has lost.
+        A holder that no longer knows the transaction may have committed it for an
+        earlier request whose answer never reached the caller.
         """
         result = self._run_at(holder, work, False)
         if result.is_ok() or result.error.code not in ENDED_CODES:
             return result
-        if not _was_lost(result.error):
-            # Ending a transaction is free, but a token that somebody made up must
-            # not cost the group work beyond the workspace's rate.
+        if not _was_reply_lost(result.error):
+            # Commits cost no token, but settling a made-up transaction token must
+            # not cause load on the group beyond the workspace's rate.
             spent = self._spend(work.workspace)
             if not spent.is_ok():
                 message = "The workspace's rate leaves no room to find the outcome."
                 retry_after_ms = spent.error.retry_after_ms
                 return refuse(Code.OUTCOME_UNKNOWN, message, retry_after_ms, UNKNOWN)
         request = {**work.request, "repeatable": False}
-        found = self._find_out(work._replace(request=request), holder)
-        if result.error.code == Code.TRANSACTION_UNKNOWN and _has_not_run(found):
+        settled = self._settle(work._replace(request=request), holder)
+        if result.error.code == Code.TRANSACTION_UNKNOWN and _has_not_run(settled):
             return result
-        return explain_commit(found)
+        return explain_lost_commit(settled)
 
 
 def is_write(work: Work) -> bool:
@@ -234,7 +240,7 @@
     return statement is not None and statement["verb"] != "get"
 
 
-def _was_lost(refusal: Refusal) -> bool:
+def _was_reply_lost(refusal: Refusal) -> bool:
     return refusal.code == Code.PEER_UNREACHABLE and refusal.ran == UNKNOWN
 
 
--- a/bronzerelay/sharekeeper.py
+++ b/bronzerelay/sharekeeper.py
@@ -1,4 +1,4 @@
-"""Carries rosters and configurations over to the shares of the rates."""
+"""Applies rosters and configurations to this daemon's shares of the rates."""
 
 from typing import NamedTuple
 
@@ -9,39 +9,39 @@
 
 
 class RosterStep(NamedTuple):
-    """A roster's epoch, and whether all members are known to have applied it."""
+    """A roster epoch, and whether all members are known to have applied it."""
 
     epoch: int
     confirmed: bool
 
 
 class ShareKeeper:
-    """Lets parts shrink at once, and grow when all members are known to have shrunk."""
+    """Shrinks shares at once, and grows them when all members have shrunk theirs."""
 
     def __init__(self, runtime: Runtime, membership: Membership, shares: Shares):
-        # Rosters come in through several tasks. One that was held up between reading
-        # the roster and setting it would put an old one back in force.
+        # Several tasks apply rosters. Without the lock, a task that was delayed between
+        # reading the roster and applying it could put an old roster back in force.
         self._lock = runtime.make_lock()
         self._membership = membership
         self._shares = shares
-        self._set = RosterStep(0, False)
-        self._version = 0
-        self._confirmed_version = 0
+        self._applied = RosterStep(0, False)
+        self._config_version = 0
+        self._confirmed_config_version = 0
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Take over the workspaces of a configuration."""
+        """Apply the workspaces of a configuration."""
         with self._lock:
             self._shares.set_workspaces(list(configuration.workspaces.values()))
-            self._version = configuration.version
-            self._membership.note_config(configuration.version)
+            self._config_version = configuration.version
+            self._membership.note_config_version(configuration.version)
 
     def apply_roster(self) -> None:
-        """Take over the roster in force."""
+        """Apply the roster in force."""
         with self._lock:
             self._apply_roster()
 
     def confirm(self) -> None:
-        """Grow into what others gave up; call it again and again."""
+        """Grow the shares if all members allow it; must be called periodically."""
         with self._lock:
             self._apply_roster()
             self._confirm_workspaces()
@@ -49,17 +49,17 @@
     def _apply_roster(self) -> None:
         roster = self._membership.roster
         step = RosterStep(roster["epoch"], self._membership.all_applied(roster))
-        if step != self._set:
+        if step != self._applied:
             self._shares.set_members(names_of(roster), step.confirmed)
-            self._set = step
-        # Loans from the larger part of before may be out: nobody may grow yet.
-        if self._membership.applied_epoch < step.epoch and self._shares.has_shrunk():
-            self._membership.note_applied(step.epoch)
+            self._applied = step
+        # While loans from a larger share may still be spent, others must not grow.
+        if self._membership.applied_epoch < step.epoch and self._shares.loans_fit():
+            self._membership.note_applied_epoch(step.epoch)
 
     def _confirm_workspaces(self) -> None:
-        version = self._version
-        if version == self._confirmed_version:
+        version = self._config_version
+        if version == self._confirmed_config_version:
             return
         if self._membership.all_configured(version):
             self._shares.confirm_workspaces()
-            self._confirmed_version = version
+            self._confirmed_config_version = version
--- a/bronzerelay/transactions.py
+++ b/bronzerelay/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions: each bound to one connection of one instance at one term."""
+"""Transactions: each runs on one connection to one instance, within one term."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -15,37 +15,38 @@
 from bronzerelay.types import Position, StatementAnswer
 from bronzerelay.work import Work
 
-# A transaction that nobody touches for this long is rolled back; it holds one of the
-# few connections of an instance.
+# A transaction that gets no request for this long is rolled back, since it occupies
+# one of the few connections to an instance.
 IDLE_MS = 10_000
-# Where transactions take all the connections that they may, one that is idle for this
-# long makes room for a new one. Callers that vanish would shut out all others else.
+# When open transactions use all the connections that they may, one that has been idle
+# for this long is rolled back for a new one. Otherwise callers that vanished would
+# block all others until `IDLE_MS`.
 CROWDED_IDLE_MS = 1_000
 SWEEP_MS = 500
-# The part of an instance's connections that transactions may hold.
-CONNECTION_PART = 0.4
+# The fraction of an instance's connections that transactions may hold.
+CONNECTION_FRACTION = 0.4
 ID_BYTES = 12
-# Stands between the daemon's name and the transaction's number in its id.
-MARK = "~"
+# Separates the daemon's name from the random part of a transaction's id.
+ID_MARK = "~"
 
 
-def daemon_of(transaction: str) -> str:
+def holder_of(transaction: str) -> str:
     """Return the name of the daemon that holds the transaction; "" if malformed."""
-    return transaction.rpartition(MARK)[0]
+    return transaction.rpartition(ID_MARK)[0]
 
 
-def name_commit(work: Work) -> Work:
-    """Return `work` under the name that every commit of its transaction has.
+def with_commit_id(work: Work) -> Work:
+    """Return `work` with the request id shared by all commits of its transaction.
 
-    A caller that lost the answer to a commit sends it again, and only under the same
-    name can anybody find out what became of the first.
+    A caller that lost the answer to a commit sends it again. Only with the same id
+    can the outcome of the first commit be determined.
     """
     token = work.request["transaction"]
-    return work._replace(request_id=f"{work.workspace}{MARK}{token}")
+    return work._replace(request_id=f"{work.workspace}{ID_MARK}{token}")
 
 
-def explain_commit(settled: Result[StatementAnswer, Refusal]) -> Result:
-    """Return what a commit's caller is told after its outcome was found out."""
+def explain_lost_commit(settled: Result[StatementAnswer, Refusal]) -> Result:
+    """Return the answer for the caller of a commit whose outcome was settled."""
     if settled.is_ok() or settled.error.ran != NOT_RUN:
         return settled
     message = "The commit was lost before it ran, and nothing is kept."
@@ -54,14 +55,14 @@
     return Error(settled.error._replace(code=Code.TRANSACTION_LOST, message=message))
 
 
-def refuse_unknown() -> Result:
-    """Return the refusal of a request whose transaction is not open here."""
+def refuse_unknown_transaction() -> Result:
+    """Return the refusal for a request whose transaction isn't open here."""
     message = "This daemon holds no such transaction of the workspace."
     return refuse(Code.TRANSACTION_UNKNOWN, message)
 
 
 class Transaction(NamedTuple):
-    """An open transaction; a lock keeps its statements one after the other."""
+    """An open transaction; its lock serializes its statements."""
 
     id: str
     workspace: str
@@ -82,7 +83,7 @@
         self._timeout_ms = timeout_ms
         self._lock = runtime.make_lock()
         self._open: dict[str, Transaction] = {}
-        self._touched_ms: dict[str, float] = {}
+        self._used_at_ms: dict[str, float] = {}
 
     def count(self) -> int:
         """Return how many transactions are open."""
@@ -91,10 +92,10 @@
 
     def begin(self, group: GroupServer, work: Work) -> Result[StatementAnswer, Refusal]:
         """Open a transaction on the group's primary."""
-        found = group.acquire_primary(work)
-        if not found.is_ok():
-            return found
-        name, term = found.ok
+        acquired = group.acquire_primary(work)
+        if not acquired.is_ok():
+            return acquired
+        name, term = acquired.ok
         try:
             return self._begin_at(group, work, name, term)
         finally:
@@ -103,9 +104,11 @@
     def _begin_at(
         self, group: GroupServer, work: Work, name: str, term: int
     ) -> Result[StatementAnswer, Refusal]:
-        spec = next(one for one in group.spec.endpoints if one.name == name)
-        limit = max(1, int(spec.connections * CONNECTION_PART))
-        if self._count_at(name) >= limit and not self._make_room(name):
+        spec = next(
+            endpoint for endpoint in group.spec.endpoints if endpoint.name == name
+        )
+        limit = max(1, int(spec.connections * CONNECTION_FRACTION))
+        if self._count_at(name) >= limit and not self._evict_idle(name):
             message = f"{name} has as many open transactions as it may have."
             return refuse(Code.TRANSACTION_LIMIT, message, 500)
         pool = group.components.pools[name]
@@ -113,13 +116,13 @@
         if not lent.is_ok():
             message = f"No connection to {name}: {lent.error.message}."
             return refuse(Code.ENDPOINT_UNREACHABLE, message, 300)
-        begun = lent.ok.begin(work.workspace, term, self._timeout_ms)
-        if not begun.is_ok():
+        opened = lent.ok.begin(work.workspace, term, self._timeout_ms)
+        if not opened.is_ok():
             lent.ok.close()
             pool.give_back(lent.ok)
-            return refuse(Code.NO_PRIMARY, begun.error.message, 300)
+            return refuse(Code.NO_PRIMARY, opened.error.message, 300)
         transaction = Transaction(
-            f"{self._daemon}{MARK}{self._runtime.random.randbytes(ID_BYTES).hex()}",
+            f"{self._daemon}{ID_MARK}{self._runtime.random.randbytes(ID_BYTES).hex()}",
             work.workspace,
             group,
             name,
@@ -130,33 +133,38 @@
         )
         with self._lock:
             self._open[transaction.id] = transaction
-            self._touched_ms[transaction.id] = self._runtime.clock.now_ms()
+            self._used_at_ms[transaction.id] = self._runtime.clock.now_ms()
         return Ok({"transaction": transaction.id, "served_by": name})
 
     def _count_at(self, endpoint: str) -> int:
         with self._lock:
-            return sum(one.endpoint == endpoint for one in self._open.values())
+            return sum(item.endpoint == endpoint for item in self._open.values())
+
+    def _evict_idle(self, endpoint: str) -> bool:
+        """Roll back an idle transaction of the workspace with the most open ones.
 
-    def _make_room(self, endpoint: str) -> bool:
-        """Roll back an idle transaction of the workspace that has most open there."""
+        Return whether one was rolled back.
+        """
         oldest_ms = self._runtime.clock.now_ms() - CROWDED_IDLE_MS
         with self._lock:
-            here = [one for one in self._open.values() if one.endpoint == endpoint]
-            idle = [one for one in here if self._touched_ms[one.id] < oldest_ms]
-            touched_ms = dict(self._touched_ms)
+            here = [item for item in self._open.values() if item.endpoint == endpoint]
+            idle = [item for item in here if self._used_at_ms[item.id] < oldest_ms]
+            used_at_ms = dict(self._used_at_ms)
         if not idle:
             return False
-        held = Counter(one.workspace for one in here)
-        chosen = max(idle, key=lambda one: (held[one.workspace], -touched_ms[one.id]))
-        return self._end_idle(chosen, oldest_ms)
+        open_counts = Counter(item.workspace for item in here)
+        victim = max(
+            idle, key=lambda item: (open_counts[item.workspace], -used_at_ms[item.id])
+        )
+        return self._end_idle(victim, oldest_ms)
 
     def _end_idle(self, transaction: Transaction, limit_ms: float) -> bool:
-        """End a transaction unless a request has touched it since `limit_ms`."""
+        """End a transaction unless a request has used it since `limit_ms`."""
         if not transaction.lock.acquire(blocking=False):
             return False
         try:
             with self._lock:
-                if self._touched_ms.get(transaction.id, limit_ms) >= limit_ms:
+                if self._used_at_ms.get(transaction.id, limit_ms) >= limit_ms:
                     return False
             self._end(transaction)
             return True
@@ -167,13 +175,14 @@
         """Run a statement, a commit or a rollback of an open transaction."""
         transaction = self._find(work)
         if transaction is None:
-            return refuse_unknown()
+            return refuse_unknown_transaction()
         action = work.request.get("action", "statement")
         with transaction.lock:
-            # It may have ended while this request waited for the lock. Its link then
-            # serves somebody else, whose work would mix with this statement.
+            # The transaction may have ended while this request waited for the lock.
+            # Its connection may then serve another caller, and this statement would
+            # run within that caller's work.
             if not self._is_open(transaction):
-                return refuse_unknown()
+                return refuse_unknown_transaction()
             if action == "commit":
                 return self._commit(transaction, work)
             if action == "rollback":
@@ -185,23 +194,23 @@
             return transaction.id in self._open
 
     def _find(self, work: Work) -> Transaction | None:
-        """Return the transaction if it is this workspace's own, in this group."""
+        """Return the transaction if it belongs to this workspace and group."""
         with self._lock:
             transaction = self._open.get(work.request["transaction"])
             if transaction is None or transaction.workspace != work.workspace:
                 return None
             if transaction.group.spec.name != work.group:
                 return None
-            self._touched_ms[transaction.id] = self._runtime.clock.now_ms()
+            self._used_at_ms[transaction.id] = self._runtime.clock.now_ms()
             return transaction
 
     def _run_statement(
         self, transaction: Transaction, work: Work
     ) -> Result[StatementAnswer, Refusal]:
         statement = work.request["statement"]
-        held = self._hold_slot(transaction, work)
-        if not held.is_ok():
-            return held
+        acquired = self._acquire_slot(transaction, work)
+        if not acquired.is_ok():
+            return acquired
         try:
             if statement["verb"] == "get":
                 result = transaction.link.read(
@@ -214,11 +223,11 @@
         finally:
             transaction.group.components.slots.release(transaction.endpoint)
         if not result.is_ok():
-            return self._fail(transaction, result.error)
+            return self._handle_failure(transaction, result.error)
         seen = Position(result.ok.log_term, result.ok.position)
         if seen < work.session.get(work.group, Position(0, 0)):
-            # A primary that was replaced lacks what the session has written since,
-            # and would not be able to commit.
+            # A replaced primary lacks the session's later writes, and couldn't
+            # commit.
             self._end(transaction)
             message = "The transaction is lost: its primary was replaced."
             return refuse(Code.TRANSACTION_LOST, message)
@@ -231,17 +240,17 @@
             }
         )
 
-    def _hold_slot(self, transaction: Transaction, work: Work) -> Result:
+    def _acquire_slot(self, transaction: Transaction, work: Work) -> Result:
         slots = transaction.group.components.slots
         return slots.acquire(work.workspace, (transaction.endpoint,), work.deadline_ms)
 
-    def _fail(self, transaction: Transaction, error: EndpointError) -> Result:
+    def _handle_failure(self, transaction: Transaction, error: EndpointError) -> Result:
         if error.kind == "invalid_statement":
             return refuse(Code.STATEMENT_FAILED, error.message)
         if error.kind == "busy":
             message = f"{transaction.endpoint} has no slot free."
             return refuse(Code.QUEUE_FULL, message, 50)
-        # The connection or the term is gone, and the endpoint kept nothing.
+        # The connection broke or the term ended, and the endpoint rolled back.
         self._end(transaction)
         message = f"The transaction is lost: {error.message}."
         return refuse(Code.TRANSACTION_LOST, message)
@@ -249,9 +258,9 @@
     def _commit(
         self, transaction: Transaction, work: Work
     ) -> Result[StatementAnswer, Refusal]:
-        held = self._hold_slot(transaction, work)
-        if not held.is_ok():
-            return held
+        acquired = self._acquire_slot(transaction, work)
+        if not acquired.is_ok():
+            return acquired
         try:
             result = transaction.link.commit(
                 transaction.term, work.write_id(1), self._timeout_ms
@@ -263,7 +272,8 @@
         self._end(transaction)
         if result.is_ok():
             return self._finish_commit(transaction, work, result.ok)
-        # Cancelled by whom, and whether for good, only a majority can tell.
+        # Only a majority of the instances can tell whether a cancelled commit stays
+        # cancelled.
         if result.error.may_have_run or result.error.kind == "cancelled":
             return self._settle_commit(transaction, work)
         message = f"Nothing was committed: {result.error.message}."
@@ -289,11 +299,11 @@
     def _settle_commit(
         self, transaction: Transaction, work: Work
     ) -> Result[StatementAnswer, Refusal]:
-        """Find out what became of a commit; a cancelled one is a lost transaction."""
-        # A commit can't be sent again, since its statements went with the connection.
+        """Determine a commit's outcome; a cancelled one is a lost transaction."""
+        # A commit can't be sent again: its statements were lost with the connection.
         request = {**work.request, "repeatable": False}
         settled = transaction.group.settle(work._replace(request=request), 1)
-        return explain_commit(settled)
+        return explain_lost_commit(settled)
 
     def _roll_back(self, transaction: Transaction) -> Result[StatementAnswer, Refusal]:
         transaction.link.rollback(self._timeout_ms)
@@ -301,13 +311,16 @@
         return Ok({"served_by": transaction.endpoint, "role": "primary"})
 
     def _end(self, transaction: Transaction) -> None:
-        """Close the transaction, once; its link may be lent to others from then on."""
+        """Close the transaction; do nothing if it was closed before.
+
+        Afterwards its connection may serve other callers.
+        """
         with self._lock:
             if self._open.pop(transaction.id, None) is None:
                 return
-            self._touched_ms.pop(transaction.id, None)
-        # The pool closes a link that is still inside the transaction, which ends
-        # what is left of it at the endpoint.
+            self._used_at_ms.pop(transaction.id, None)
+        # The pool closes a connection that is still inside the transaction, so that
+        # the endpoint rolls the transaction back.
         transaction.pool.give_back(transaction.link)
 
     def sweep(self) -> None:
@@ -317,8 +330,8 @@
             with self._lock:
                 idle = [
                     transaction
-                    for name, transaction in self._open.items()
-                    if self._touched_ms[name] < limit_ms
+                    for transaction_id, transaction in self._open.items()
+                    if self._used_at_ms[transaction_id] < limit_ms
                 ]
             for transaction in idle:
                 self._end_idle(transaction, limit_ms)
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -121,7 +121,7 @@
     Mutation(
         "a write lost with its daemon is found out about, not sent again",
         "bronzerelay/routing.py",
-        "if is_write(work) and _was_lost(result.error):",
+        "if is_write(work) and _was_reply_lost(result.error):",
         "if False:",
         "tests/test_promise_once.py::test_link_between_daemons_cut",
     ),
@@ -135,7 +135,7 @@
     Mutation(
         "trying elsewhere has a budget",
         "bronzerelay/routing.py",
-        "if did_work and not self._budget.allow(attempt):",
+        "if endpoint_tried and not self._budget.allow(attempt):",
         "if False:",
         "tests/test_promise_once.py::test_retries_stay_within_budget",
     ),
@@ -212,7 +212,7 @@
     Mutation(
         "vanished callers make room",
         "bronzerelay/transactions.py",
-        "if self._count_at(name) >= limit and not self._make_room(name):",
+        "if self._count_at(name) >= limit and not self._evict_idle(name):",
         "if self._count_at(name) >= limit:",
         "tests/test_promise_transactions.py::test_vanished_callers_make_room",
     ),
@@ -247,7 +247,7 @@
     Mutation(
         "all commits of a transaction go by one name",
         "bronzerelay/transactions.py",
-        'return work._replace(request_id=f"{work.workspace}{MARK}{token}")',
+        'return work._replace(request_id=f"{work.workspace}{ID_MARK}{token}")',
         "return work",
         "tests/test_promise_transactions.py::test_commit_sent_again",
     ),
@@ -275,14 +275,14 @@
     Mutation(
         "tokens on loan keep their place in the lender's burst",
         "bronzerelay/buckets.py",
-        "        self._lent.append(Lot(lent, now_ms + LOAN_LIFE_MS, request.process))",
-        "        pass",
+        "self._lent.append(LoanedTokens(lent, now_ms + LOAN_LIFE_MS, request.process))",
+        "pass",
         "tests/test_shares.py::test_no_window_sees_more_than_rate_and_burst",
     ),
     Mutation(
         "a loan lapses by the time of the question",
         "bronzerelay/borrowing.py",
-        "until_ms = asked_at_ms + LOAN_LIFE_MS",
+        "until_ms = sent_at_ms + LOAN_LIFE_MS",
         "until_ms = self._runtime.clock.now_ms() + LOAN_LIFE_MS",
         "tests/test_shares.py::test_no_window_sees_more_than_rate_and_burst",
     ),
@@ -296,7 +296,7 @@
     Mutation(
         "nobody grows into loans of a larger part",
         "bronzerelay/sharekeeper.py",
-        " and self._shares.has_shrunk()",
+        " and self._shares.loans_fit()",
         "",
         "tests/test_shares.py::test_nobody_grows_while_loans_of_a_larger_part_are_out",
     ),
@@ -310,28 +310,28 @@
     Mutation(
         "a restarted daemon waits for its predecessor's loans",
         "bronzerelay/shares.py",
-        "account.bucket.start_empty(now_ms, self._begin_ms)",
+        "account.bucket.start_empty(now_ms, self._fill_from_ms)",
         "account.bucket.start_empty(now_ms, now_ms)",
         "tests/test_shares.py::test_a_restarted_daemon_waits_until_its_predecessors_loans_have_lapsed",
     ),
     Mutation(
         "a workspace that returns remembers its loans",
         "bronzerelay/shares.py",
-        "self._removed[gone] = self._accounts.pop(gone)",
+        "self._removed[removed] = self._accounts.pop(removed)",
         "self._accounts.pop(gone)",
         "tests/test_shares.py::test_a_workspace_that_comes_back_remembers_its_loans",
     ),
     Mutation(
         "a late loan request releases nothing",
         "bronzerelay/buckets.py",
-        "if request.number <= self._heard.get(request.process, 0):",
+        "if request.number <= self._last_numbers.get(request.process, 0):",
         "if False:",
         "tests/test_shares.py::test_a_loan_request_that_was_overtaken_releases_nothing",
     ),
     Mutation(
         "a spent loan gives its place back",
         "bronzerelay/buckets.py",
-        "        self._release(request)\n",
+        "        self._end_spent_loans(request)\n",
         "",
         "tests/test_shares.py::test_a_lender_refills_the_place_of_a_loan_that_was_spent",
     ),
@@ -345,8 +345,8 @@
     Mutation(
         "the fleet shares one rate",
         "bronzerelay/shares.py",
-        "part = min(parts, default=0.0)",
-        "part = 1.0",
+        "fraction = min(fractions, default=0.0)",
+        "fraction = 1.0",
         "tests/test_promise_rates.py::test_five_times_its_rate_gets_the_rate_and_no_more",
     ),
     Mutation(
@@ -359,15 +359,15 @@
     Mutation(
         "a thawed daemon finds no more than its burst",
         "bronzerelay/buckets.py",
-        "self._tokens = max(0.0, min(room, grown))",
-        "self._tokens = max(0.0, grown)",
+        "self._tokens = max(0.0, min(room, filled))",
+        "self._tokens = max(0.0, filled)",
         "tests/test_promise_rates.py::test_the_rate_holds_while_daemons_die_freeze_and_the_platform_is_out",
     ),
     Mutation(
         "a lowered rate comes into force",
         "bronzerelay/shares.py",
-        "            account.spec = spec\n            # A fresh",
-        "            # A fresh",
+        "            account.spec = spec\n            # A new",
+        "            # A new",
         "tests/test_promise_rates.py::test_a_lowered_rate_holds_once_it_is_in_force",
     ),
     Mutation(
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -109,7 +109,7 @@
         self.membership.accept_roster({"epoch": 1, "members": members})
         views = [MemberView(one.name, 1, 1, 1, 0, 0, False) for one in nodes]
         self.membership.merge_reply(views, self.runtime.clock.now_ms())
-        self.membership.note_platform(self.runtime.clock.now_ms())
+        self.membership.note_platform_answer(self.runtime.clock.now_ms())
 
     def send(self, action: str = "", key: str = "", **fields: Any) -> Result:
         """Run a request as a caller's; `key` is its idempotency key."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -70,7 +70,7 @@
     """A daemon is frozen between its heartbeat and the reply. Taken as of its arrival,
     the reply would show a dead peer alive and an old contact with the platform fresh.
     """
-    trio.members["vm-2"].note_platform(trio.runtime.clock.now_ms())
+    trio.members["vm-2"].note_platform_answer(trio.runtime.clock.now_ms())
     trio.hear("vm-1", "vm-2", delay_ms=60_000)
     member = trio.members["vm-1"]
     assert member.alive_names() == ["vm-1"]
@@ -80,7 +80,7 @@
 
 def test_an_old_view_by_a_detour_changes_nothing(trio):
     """vm-3 passes on what it last knew of vm-2, after vm-1 has heard newer."""
-    trio.members["vm-2"].note_applied(5)
+    trio.members["vm-2"].note_applied_epoch(5)
     trio.wait(100)
     trio.hear("vm-1", "vm-2")
     trio.hear("vm-1", "vm-3")
@@ -91,7 +91,7 @@
     """A restarted daemon begins with no epoch applied. If the view of the process
     before it stayed, others would take its share for shrunk when it isn't.
     """
-    trio.members["vm-2"].note_applied(1)
+    trio.members["vm-2"].note_applied_epoch(1)
     trio.hear("vm-1", "vm-2")
     trio.wait(200)
     trio.members["vm-2"] = trio.make("vm-2")
@@ -102,10 +102,10 @@
 def test_an_epoch_is_applied_when_every_member_of_that_roster_says_so(trio):
     member = trio.members["vm-1"]
     for name in NAMES[:2]:
-        trio.members[name].note_applied(1)
+        trio.members[name].note_applied_epoch(1)
     trio.hear_all()
     assert not member.all_applied(member.roster)
-    trio.members["vm-3"].note_applied(1)
+    trio.members["vm-3"].note_applied_epoch(1)
     trio.hear("vm-1", "vm-3")
     assert member.all_applied(member.roster)
 
@@ -117,7 +117,7 @@
     member = trio.members["vm-1"]
     first = member.roster
     for name in NAMES[:2]:
-        trio.members[name].note_applied(1)
+        trio.members[name].note_applied_epoch(1)
     trio.hear_all()
     member.accept_roster(make_roster(2, NAMES[:2]))
     assert not member.all_applied(first)
@@ -136,9 +136,9 @@
 def test_an_older_roster_and_epoch_never_come_back(trio):
     member = trio.members["vm-1"]
     member.accept_roster(make_roster(3, NAMES[:2]))
-    member.note_applied(3)
+    member.note_applied_epoch(3)
     assert not member.accept_roster(make_roster(2, NAMES))
-    member.note_applied(2)
+    member.note_applied_epoch(2)
     assert member.member_names() == ["vm-1", "vm-2"]
     assert member.applied_epoch == 3
 
@@ -158,7 +158,7 @@
 
 def test_one_daemon_with_the_platform_is_enough_for_those_that_hear_of_it(trio):
     trio.wait(ISOLATION_MS + 1)
-    trio.members["vm-3"].note_platform(trio.runtime.clock.now_ms())
+    trio.members["vm-3"].note_platform_answer(trio.runtime.clock.now_ms())
     trio.hear("vm-2", "vm-3")
     trio.hear("vm-1", "vm-2")
     assert not trio.members["vm-1"].is_isolated()
--- a/tests/test_promise_transactions.py
+++ b/tests/test_promise_transactions.py
@@ -4,7 +4,7 @@
 
 from bronzerelay import transactions
 from bronzerelay.codes import NOT_RUN, RAN, UNKNOWN, Code
-from bronzerelay.transactions import daemon_of
+from bronzerelay.transactions import holder_of
 from standins.caller import Caller, CallerSettings
 from standins.checks import run_checks
 from standins.cluster import Cluster
@@ -472,7 +472,7 @@
         caller = Caller(runtime, settings, links)
         through = cluster.daemon_names[0]
         token = open_transaction(cluster, caller, through)
-        holder = daemon_of(token)
+        holder = holder_of(token)
         bystanders = set(cluster.daemon_names) - {holder}
         killed = holder if victim == "holder" else max(bystanders - {through})
         asked = through if through != killed else max(bystanders)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -154,18 +154,18 @@
     views = [MemberView(name, 1, 1, 1, 0, 60_000, False) for name in (first, third)]
     trial.membership.merge_reply(views, now_ms)
     assert not trial.keeper._is_janitor()
-    trial.membership.note_platform(now_ms)
+    trial.membership.note_platform_answer(now_ms)
     assert trial.keeper._is_janitor()
 
 
 def test_a_roster_is_settled_only_when_every_member_applied_it(platform):
     trial = Trial(platform)
     trial.put(make_roster(1, ["vm-1", "vm-2"]))
-    trial.membership.note_applied(1)
+    trial.membership.note_applied_epoch(1)
     trial.keeper._settle()
     assert not trial.stored().get("settled")
     other = Membership(trial.clock, MembershipSettings("vm-2"))
-    other.note_applied(1)
+    other.note_applied_epoch(1)
     trial.membership.merge_reply(other.make_views(), trial.clock.clock.now_ms())
     trial.keeper._settle()
     assert trial.stored()["settled"]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -185,10 +185,10 @@
     fleet.pass_time(LOAN_LIFE_MS - 1)
     bucket = fleet.members["vm-1"].shares._accounts[WORKSPACE].bucket
     assert bucket.available(fleet.clock.now_ms()) == 0
-    assert not fleet.members["vm-1"].shares.has_begun()
+    assert not fleet.members["vm-1"].shares.are_ready()
     fleet.pass_time(1000)
     assert bucket.available(fleet.clock.now_ms()) == 10
-    assert fleet.members["vm-1"].shares.has_begun()
+    assert fleet.members["vm-1"].shares.are_ready()
 
 
 def test_a_part_shrinks_at_once_and_grows_when_all_have_shrunk():
