--- a/bronzerelay/gossip.py
+++ b/bronzerelay/gossip.py
@@ -1,4 +1,4 @@
-"""Heartbeats, and what spreads with them: configuration and roster."""
+"""Gossip between daemons: heartbeats, which also jitter configuration and roster."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -13,23 +13,23 @@
 from bronzerelay.types import Roster
 
 FETCH_TIMEOUT_MS = 2000
-# How often the liveness of peers is judged, to drop links to a silent one.
-JUDGE_MS = 50
-# A look that comes this much after the last one tells that the daemon didn't run.
+# How often the liveness of peers is checked, to drop the links to silent ones.
+LIVENESS_CHECK_MS = 50
+# If this much time lies between two liveness checks, this daemon was paused.
 PAUSE_MS = 250
 
 _roster_decoder = msgspec.json.Decoder(Roster)
 
 
 class GossipSettings(NamedTuple):
-    """How often heartbeats go out, and how long one may take."""
+    """The interval between heartbeats to a peer, and the timeout of one."""
 
     heartbeat_ms: int = 200
     beat_timeout_ms: int = 500
 
 
 class Gossip:
-    """Exchanges heartbeats with each peer, one task for each."""
+    """Exchanges heartbeats with all peers, with one task for each."""
 
     def __init__(
         self,
@@ -51,44 +51,44 @@
         self._on_roster: list[Callable[[], None]] = []
 
     def call_on_roster(self, function: Callable[[], None]) -> None:
-        """Call `function` when a new roster was accepted."""
+        """Call `function` each time a new roster has been accepted."""
         self._on_roster.append(function)
 
     def start(self) -> None:
-        """Start judging peers; heartbeats begin with the first roster."""
-        self._runtime.start(self._judge_peers)
+        """Start checking the peers' liveness; the first roster starts heartbeats."""
+        self._runtime.start(self._check_liveness)
 
     def accept_roster(self, roster: Roster) -> None:
-        """Take over a roster, from the platform or a peer, if it is newer."""
+        """Accept a roster from the platform or a peer, if it is newer."""
         if not self._membership.accept_roster(roster):
             return
         self._log.info("The roster changed.", extra={"epoch": roster["epoch"]})
-        self._follow_roster()
+        self._start_heartbeats()
         for function in self._on_roster:
             function()
 
-    def _follow_roster(self) -> None:
+    def _start_heartbeats(self) -> None:
         addresses = self._membership.peer_addresses()
         with self._lock:
-            fresh = [
+            changed = [
                 name
                 for name, address in addresses.items()
                 if self._targets.get(name) != address
             ]
             self._targets = addresses
-        for name in fresh:
-            self._runtime.start(self._beat_peer, name, addresses[name])
+        for name in changed:
+            self._runtime.start(self._run_heartbeats, name, addresses[name])
 
     # One task for each peer
 
-    def _beat_peer(self, name: str, address: Address) -> None:
+    def _run_heartbeats(self, name: str, address: Address) -> None:
         while self._targets.get(name) == address and not self._runtime.stopping:
             self.send_heartbeat(name, address)
-            spread = self._runtime.random.uniform(0.9, 1.1)
-            self._runtime.sleep_ms(self._settings.heartbeat_ms * spread)
+            jitter = self._runtime.random.uniform(0.9, 1.1)
+            self._runtime.sleep_ms(self._settings.heartbeat_ms * jitter)
 
     def send_heartbeat(self, name: str, address: Address) -> bool:
-        """Send one heartbeat and learn from the reply; return whether it came."""
+        """Send one heartbeat and process its reply; return whether a reply came."""
         sent_at_ms = self._runtime.clock.now_ms()
         timeout_ms = self._settings.beat_timeout_ms
         result = self._links.call(address, "beat", self.make_beat(), timeout_ms)
@@ -97,16 +97,16 @@
                 self._membership.mark_unreachable(name, result.error.message)
             return False
         self._membership.clear_unreachable(name)
-        self._fetch_news(address, result.ok)
-        # A daemon that was frozen is isolated until it hears of others. Counted before
-        # the version that the reply announces is here, it would admit requests with a
-        # key that this version withdraws.
+        self._fetch_newer(address, result.ok)
+        # A daemon that was frozen is isolated until it merges recent views. If it did
+        # so before it has the configuration version that the reply announces, it would
+        # admit requests with keys that this version withdraws.
         if result.ok.config_version <= self._store.version:
             self._membership.merge_reply(result.ok.views, sent_at_ms)
         return True
 
     def make_beat(self) -> Beat:
-        """Return what this daemon knows, as a heartbeat or its reply."""
+        """Return this daemon's views and versions, as a heartbeat or its reply."""
         return Beat(
             sender=self._membership.name,
             roster_epoch=self._membership.roster["epoch"],
@@ -114,7 +114,7 @@
             views=self._membership.make_views(),
         )
 
-    def _fetch_news(self, address: Address, beat: Beat) -> None:
+    def _fetch_newer(self, address: Address, beat: Beat) -> None:
         if beat.config_version > self._store.version:
             self._fetch_config(address)
         roster = self._membership.roster
@@ -134,38 +134,38 @@
             self.accept_roster(_roster_decoder.decode(result.ok.value))
 
     def fetch_from_seed(self, address: Address) -> bool:
-        """Learn roster and configuration from a peer that settings name.
+        """Fetch roster and configuration from a peer that the settings name.
 
-        A daemon that starts while the platform is out knows nobody else.
+        A daemon that starts while the platform is down knows no other peers.
         """
         result = self._links.call(address, "beat", self.make_beat(), FETCH_TIMEOUT_MS)
         if not result.is_ok():
             return False
-        self._fetch_news(address, result.ok)
+        self._fetch_newer(address, result.ok)
         return True
 
-    def _judge_peers(self) -> None:
+    def _check_liveness(self) -> None:
         alive: set[str] = set()
-        looked_ms = self._runtime.clock.now_ms()
-        while self._runtime.sleep_ms(JUDGE_MS):
-            looked_ms = self._note_pause(looked_ms)
+        checked_ms = self._runtime.clock.now_ms()
+        while self._runtime.sleep_ms(LIVENESS_CHECK_MS):
+            checked_ms = self._note_pause(checked_ms)
             now_alive = set(self._membership.alive_names())
             for name in alive - now_alive:
-                self._part_from(name)
+                self._drop_silent(name)
             for name in now_alive - alive:
-                self._log.info("A peer is heard of.", extra={"peer": name})
+                self._log.info("A peer is alive.", extra={"peer": name})
             alive = now_alive
 
-    def _note_pause(self, looked_ms: float) -> float:
-        """Note a pause of this daemon since the last look; return the time of this."""
+    def _note_pause(self, checked_ms: float) -> float:
+        """Record a pause of this daemon since the last check; return the time now."""
         now_ms = self._runtime.clock.now_ms()
-        if now_ms - looked_ms > PAUSE_MS:
-            self._membership.note_pause(looked_ms, now_ms)
-            extra = {"paused_ms": round(now_ms - looked_ms)}
+        if now_ms - checked_ms > PAUSE_MS:
+            self._membership.note_pause(checked_ms, now_ms)
+            extra = {"paused_ms": round(now_ms - checked_ms)}
             self._log.warning("This daemon was paused.", extra=extra)
         return now_ms
 
-    def _part_from(self, name: str) -> None:
+    def _drop_silent(self, name: str) -> None:
         address = self._membership.address_of(name)
         view = self._membership.view_of(name)
         if address is None or view.stopping:
@@ -178,17 +178,17 @@
         }
         self._log.warning("A peer is silent.", extra=extra)
 
-    # The other side of a fetch
+    # Replies to peers that fetch
 
     def make_config_record(self, known_version: int) -> Record:
-        """Return the record in force if it is newer than `known_version`."""
+        """Return the configuration if newer than `known_version`, else no value."""
         record = self._store.record
         if record is None or record["version"] <= known_version:
             return Record(version=self._store.version, value=b"")
         return Record(version=record["version"], value=msgspec.json.encode(record))
 
     def make_roster_record(self, known_epoch: int) -> Record:
-        """Return the roster if it is newer than `known_epoch`."""
+        """Return the roster if newer than `known_epoch`, else no value."""
         roster = self._membership.roster
         if roster["epoch"] <= known_epoch:
             return Record(version=roster["epoch"], value=b"")
--- a/bronzerelay/membership.py
+++ b/bronzerelay/membership.py
@@ -1,4 +1,4 @@
-"""Who is alive: views of all daemons, spread by heartbeats between peers."""
+"""Membership: which daemons are alive, from views that heartbeats carry."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,16 @@
 from bronzerelay.runtime import Address, Runtime, parse_address
 from bronzerelay.types import Roster
 
-# An age that says "never"; it stays below the i64 of the heartbeat.
+# The age of an event that never happened; it fits into the heartbeat's i64.
 NEVER_MS = 10**12
 
 
 class View(NamedTuple):
-    """What this daemon knows of another one; times are of the own clock."""
+    """What this daemon knows about a member; times are on this daemon's clock.
+
+    `heard_at_ms` is when the member was known to run, and `platform_at_ms` when the
+    platform last answered it.
+    """
 
     beat: int = -1
     applied_epoch: int = 0
@@ -22,14 +26,14 @@
 
 
 class Pause(NamedTuple):
-    """A time during which this daemon didn't run, by the own clock."""
+    """A period in which this daemon's process didn't run, on its own clock."""
 
     began_ms: float = -NEVER_MS
     ended_ms: float = -NEVER_MS
 
 
 class MembershipSettings(NamedTuple):
-    """How fast silence is taken for death, and for being cut off."""
+    """After how much silence a member counts as dead, and this daemon as isolated."""
 
     name: str
     suspect_ms: int = 700
@@ -37,11 +41,11 @@
 
 
 class Membership:
-    """The roster in force and the freshest view of each member.
+    """The roster in force and the latest view of each member.
 
-    A view is fresh only by the own clock: it counts from the moment at which the
-    request was sent whose reply brought it. A beat that comes in says nothing about
-    its age; a daemon that was frozen reads old ones and would take them for new.
+    The age of a view is measured on this daemon's clock, from the time at which it
+    sent the heartbeat whose reply brought the view. The time of arrival can't be used:
+    a daemon that was frozen reads old replies and would take them for new ones.
     """
 
     def __init__(self, runtime: Runtime, settings: MembershipSettings):
@@ -49,14 +53,14 @@
         self._settings = settings
         self._lock = runtime.make_lock()
         self._views: dict[str, View] = {}
-        # Why each member that couldn't be reached counts as dead.
+        # The connection error of each member that counts as dead because of it.
         self._unreachable: dict[str, str] = {}
         self._roster: Roster = {"epoch": 0, "members": []}
         self._addresses: dict[str, Address] = {}
-        self._own = View(beat=0)
+        self._own_view = View(beat=0)
         self._pause = Pause()
         self._platform_at_ms: float = -NEVER_MS
-        # The live members, for as long as nothing but time can change them.
+        # The live members, cached until a view changes or `_alive_until_ms` has passed.
         self._alive: list[str] = []
         self._alive_until_ms: float = -NEVER_MS
 
@@ -68,46 +72,48 @@
     # The own view
 
     def note_platform_answer(self, sent_at_ms: float) -> None:
-        """Note that a request sent to the platform at `sent_at_ms` was answered."""
+        """Record that the platform answered a request that was sent at `sent_at_ms`."""
         with self._lock:
-            latest = max(self._own.platform_at_ms, sent_at_ms)
-            self._own = self._own._replace(platform_at_ms=latest)
+            latest = max(self._own_view.platform_at_ms, sent_at_ms)
+            self._own_view = self._own_view._replace(platform_at_ms=latest)
             self._platform_at_ms = max(self._platform_at_ms, latest)
 
     def note_config_version(self, version: int) -> None:
-        """Note the version of the configuration that is in force here."""
+        """Record the version of the configuration that is in force here."""
         with self._lock:
-            self._own = self._own._replace(config_version=version)
+            self._own_view = self._own_view._replace(config_version=version)
 
     def note_applied_epoch(self, epoch: int) -> None:
-        """Note the roster epoch whose shares are in force here."""
+        """Record the roster epoch whose shares are in force here."""
         with self._lock:
-            applied = max(self._own.applied_epoch, epoch)
-            self._own = self._own._replace(applied_epoch=applied)
+            applied = max(self._own_view.applied_epoch, epoch)
+            self._own_view = self._own_view._replace(applied_epoch=applied)
 
     @property
     def applied_epoch(self) -> int:
         """Return the roster epoch whose shares are in force here."""
-        return self._own.applied_epoch
+        return self._own_view.applied_epoch
 
     def note_stopping(self) -> None:
-        """Tell peers from now on that this daemon is stopping."""
+        """Report to peers from now on that this daemon is stopping."""
         with self._lock:
-            self._own = self._own._replace(stopping=True)
-            self._forget_alive()
+            self._own_view = self._own_view._replace(stopping=True)
+            self._invalidate_alive()
 
     # Heartbeats
 
     def make_views(self) -> list[MemberView]:
-        """Return the own view and all known ones, ages counted from now."""
+        """Return this daemon's view of itself and of all others, with current ages."""
         now_ms = self._runtime.clock.now_ms()
         with self._lock:
-            self._own = self._own._replace(beat=self._own.beat + 1, heard_at_ms=now_ms)
-            views = {**self._views, self.name: self._own}
+            self._own_view = self._own_view._replace(
+                beat=self._own_view.beat + 1, heard_at_ms=now_ms
+            )
+            views = {**self._views, self.name: self._own_view}
         return [_pack_view(name, view, now_ms) for name, view in views.items()]
 
     def merge_reply(self, views: list[MemberView], sent_at_ms: float) -> None:
-        """Take over what a reply says, as of the time its request was sent."""
+        """Merge the views of a reply, with ages that count from `sent_at_ms`."""
         with self._lock:
             for packed in views:
                 if packed.name == self.name:
@@ -119,36 +125,37 @@
 
     def _note_merged(self, name: str, known: View, view: View) -> None:
         self._platform_at_ms = max(self._platform_at_ms, view.platform_at_ms)
-        oldest_ms = self._runtime.clock.now_ms() - self._settings.suspect_ms
-        was_silent = known.heard_at_ms < oldest_ms <= view.heard_at_ms
+        since_ms = self._runtime.clock.now_ms() - self._settings.suspect_ms
+        was_silent = known.heard_at_ms < since_ms <= view.heard_at_ms
         if was_silent or known.stopping != view.stopping:
-            self._forget_alive()
+            self._invalidate_alive()
 
     def clear_unreachable(self, name: str) -> None:
-        """Trust `name` again, since it replied."""
+        """Let `name` count as alive again, because it has replied."""
         with self._lock:
             if self._unreachable.pop(name, None) is not None:
-                self._forget_alive()
+                self._invalidate_alive()
 
     def mark_unreachable(self, name: str, reason: str = "") -> None:
-        """Distrust `name` at once, since it refused a connection."""
+        """Let `name` count as dead at once, because it can't be connected to."""
         with self._lock:
             self._unreachable[name] = reason
-            self._forget_alive()
+            self._invalidate_alive()
 
     def why_unreachable(self, name: str) -> str:
-        """Return why `name` was marked; empty when it is silent or alive."""
+        """Return the reason given to `mark_unreachable`, or "" if not marked."""
         return self._unreachable.get(name, "")
 
     def note_pause(self, began_ms: float, ended_ms: float) -> None:
-        """Note that this daemon didn't run and can't tell who was silent meanwhile.
+        """Record a pause of this daemon, during which it couldn't receive replies.
 
-        Whoever was alive before counts as alive until it could have answered. All the
-        others would look dead otherwise, and every call on its way would be cut.
+        Members that were alive before the pause count as alive until they have had
+        time to reply after it. Otherwise all of them would look dead, and every call
+        in progress would be closed.
         """
         with self._lock:
             self._pause = Pause(began_ms, ended_ms)
-            self._forget_alive()
+            self._invalidate_alive()
 
     # The roster
 
@@ -158,9 +165,9 @@
         return self._roster
 
     def accept_roster(self, roster: Roster) -> bool:
-        """Take over `roster` if its epoch is higher, or newly settled.
+        """Put `roster` in force if its epoch is higher, or if it is newly settled.
 
-        Return whether it was.
+        Return whether it was put in force.
         """
         with self._lock:
             known = self._roster
@@ -174,9 +181,9 @@
             self._addresses = {
                 member["name"]: parse_address(member["address"]) for member in members
             }
-            for gone in set(self._views) - set(self._addresses):
-                del self._views[gone]
-            self._forget_alive()
+            for name in set(self._views) - set(self._addresses):
+                del self._views[name]
+            self._invalidate_alive()
         return True
 
     def member_names(self) -> list[str]:
@@ -184,68 +191,68 @@
         return list(self._addresses)
 
     def peer_addresses(self) -> dict[str, Address]:
-        """Return where the other members are reached."""
+        """Return the peer addresses of the other members."""
         addresses = dict(self._addresses)
         addresses.pop(self.name, None)
         return addresses
 
     def address_of(self, name: str) -> Address | None:
-        """Return where `name` is reached, or None when the roster lacks it."""
+        """Return the peer address of `name`, or None if it isn't in the roster."""
         return self._addresses.get(name)
 
     def view_of(self, name: str) -> View:
-        """Return the view of `name`; one never heard of is as old as can be."""
+        """Return the view of `name`; without any heartbeat it is of age `NEVER_MS`."""
         with self._lock:
             if name == self.name:
-                return self._own._replace(heard_at_ms=self._runtime.clock.now_ms())
+                return self._own_view._replace(heard_at_ms=self._runtime.clock.now_ms())
             return self._views.get(name, View())
 
-    # Judgements
+    # Liveness
 
     def is_alive(self, name: str) -> bool:
-        """Return whether `name` was heard of lately and isn't stopping."""
+        """Return whether `name` was known to run recently and isn't stopping."""
         if name == self.name:
-            return not self._own.stopping
+            return not self._own_view.stopping
         view = self.view_of(name)
         if view.stopping or name in self._unreachable:
             return False
-        return self._is_heard(view, self._runtime.clock.now_ms())
+        return self._is_recent(view, self._runtime.clock.now_ms())
 
-    def _is_heard(self, view: View, now_ms: float) -> bool:
+    def _is_recent(self, view: View, now_ms: float) -> bool:
         return now_ms <= self._trusted_until_ms(view)
 
     def _trusted_until_ms(self, view: View) -> float:
-        """Return until when a member counts as alive that isn't heard of again."""
+        """Return until when a member counts as alive without any newer view."""
         until_ms = view.heard_at_ms + self._settings.suspect_ms
         if view.heard_at_ms <= self._pause.began_ms <= until_ms:
             return self._pause.ended_ms + self._settings.suspect_ms
         return until_ms
 
     def alive_names(self) -> list[str]:
-        """Return the members that are alive; always itself unless it is stopping.
+        """Return the live members, this daemon included unless it is stopping.
 
-        It is the same list until that changes; nobody may edit it. Each request asks
-        for it, and judging all members anew is slow in a large fleet.
+        The list is cached, and callers must not modify it: each request needs it, and
+        to check all members each time is slow in a large fleet.
         """
         with self._lock:
             now_ms = self._runtime.clock.now_ms()
             if now_ms > self._alive_until_ms:
-                self._judge_alive(now_ms)
+                self._refresh_alive(now_ms)
             return self._alive
 
-    def _forget_alive(self) -> None:
+    def _invalidate_alive(self) -> None:
         self._alive_until_ms = -NEVER_MS
 
-    def _judge_alive(self, now_ms: float) -> None:
-        """Judge all members, and note when silence could next change the outcome."""
+    def _refresh_alive(self, now_ms: float) -> None:
+        """Check all members, and find out when the next one would count as dead."""
         suspect_ms = self._settings.suspect_ms
         until_ms = now_ms + suspect_ms
-        names = set() if self._own.stopping else {self.name}
+        names = set() if self._own_view.stopping else {self.name}
         for name in self._addresses:
             view = self._views.get(name)
             if view is None or view.stopping or name in self._unreachable:
                 continue
-            if name != self.name and self._is_heard(view, now_ms):
+            if name != self.name and self._is_recent(view, now_ms):
                 names.add(name)
                 until_ms = min(until_ms, self._trusted_until_ms(view))
         alive = sorted(names)
@@ -254,23 +261,22 @@
         self._alive_until_ms = until_ms
 
     def platform_age_ms(self) -> float:
-        """Return how long ago the platform answered any daemon that we heard of."""
+        """Return how long ago the platform answered any daemon, as far as known."""
         return self._runtime.clock.now_ms() - self._platform_at_ms
 
-    def list_answered(self, names: list[str], within_ms: float) -> list[str]:
-        """Return those of `names` that the platform has answered within a time."""
-        oldest_ms = self._runtime.clock.now_ms() - within_ms
-        return [
-            name for name in names if self.view_of(name).platform_at_ms >= oldest_ms
-        ]
+    def filter_answered(self, names: list[str], within_ms: float) -> list[str]:
+        """Return those of `names` that the platform has answered recently."""
+        since_ms = self._runtime.clock.now_ms() - within_ms
+        return [name for name in names if self.view_of(name).platform_at_ms >= since_ms]
 
     def is_isolated(self) -> bool:
-        """Return whether a key could be withdrawn without this daemon learning it.
+        """Return whether a key could be withdrawn without this daemon learning of it.
 
-        It is safe when the platform answered somebody that we hear of, or when we
-        hear of most of the roster and none of them gets an answer: then the platform
-        itself is out and nothing new can be accepted. A daemon that hears of fewer
-        may be on the small side of a cut and would go on honouring withdrawn keys.
+        It isn't isolated if the platform has recently answered a daemon whose views
+        reach this one. Nor is it if it has recent views of most of the roster and the
+        platform answers none of them: then the platform itself is down, and no new
+        configuration can be accepted. A daemon with fewer recent views may be in the
+        minority of a network partition, and would go on accepting withdrawn keys.
         """
         limit_ms = self._settings.isolation_ms
         if self.platform_age_ms() <= limit_ms:
@@ -278,15 +284,15 @@
         names = self.member_names()
         if not names:
             return True
-        oldest_ms = self._runtime.clock.now_ms() - limit_ms
-        heard = [name for name in names if self.view_of(name).heard_at_ms >= oldest_ms]
+        since_ms = self._runtime.clock.now_ms() - limit_ms
+        heard = [name for name in names if self.view_of(name).heard_at_ms >= since_ms]
         return len(heard) * 2 <= len(names)
 
     def all_applied(self, roster: Roster) -> bool:
         """Return whether each member of `roster` is known to have applied it.
 
-        The names are those of the roster that was handed in: another one may come
-        into force meanwhile, and its members say nothing about this one.
+        Only the members of the given roster count. Another roster may come into force
+        meanwhile, and its members say nothing about this one.
         """
         if roster.get("settled"):
             return True
@@ -296,7 +302,7 @@
         )
 
     def all_configured(self, version: int) -> bool:
-        """Return whether each member is known to go by `version` or a later one."""
+        """Return whether each member is known to use `version` or a later one."""
         names = self.member_names()
         return bool(names) and all(
             self.view_of(name).config_version >= version for name in names
@@ -323,15 +329,15 @@
 def _merge_view(known: View, packed: MemberView, sent_at_ms: float) -> View:
     heard_at_ms = max(known.heard_at_ms, sent_at_ms - packed.heard_age_ms)
     platform_at_ms = max(known.platform_at_ms, sent_at_ms - packed.platform_age_ms)
-    ages = known._replace(heard_at_ms=heard_at_ms, platform_at_ms=platform_at_ms)
-    # A restarted daemon counts its beats from zero again, and its newer age tells
-    # it from an old view that took a detour.
+    aged = known._replace(heard_at_ms=heard_at_ms, platform_at_ms=platform_at_ms)
+    # A restarted daemon counts its heartbeats from zero again. Its newer age tells its
+    # view apart from an old one that arrived late through another member.
     is_newer = packed.beat > known.beat or (
         sent_at_ms - packed.heard_age_ms > known.heard_at_ms + 1
     )
     if not is_newer:
-        return ages
-    return ages._replace(
+        return aged
+    return aged._replace(
         beat=packed.beat,
         applied_epoch=packed.applied_epoch,
         config_version=packed.config_version,
--- a/bronzerelay/platformwatch.py
+++ b/bronzerelay/platformwatch.py
@@ -1,8 +1,8 @@
-"""The watches on the platform, kept by a few daemons for all.
+"""Watches configuration and roster at the platform, on behalf of all daemons.
 
-Those few may be the ones that the platform gives no answer, which looks to the others
-like an outage of the platform. So the others ask, one after another, when no daemon
-that they hear of has got an answer for long.
+Only a few daemons watch. If the platform doesn't answer just these, that looks like an
+outage of the platform to the others. So the others start to ask too, one after another,
+when no daemon that they know about has got an answer for some time.
 """
 
 from collections.abc import Callable
@@ -20,21 +20,21 @@
 from bronzerelay.types import Roster
 
 CONFIG_KEY = "config/current"
-# This many daemons watch; the others learn from heartbeats. The calls at the
-# platform so stay the same however many daemons there are.
+# This many daemons watch, and the others learn from their heartbeats. So the platform's
+# load doesn't grow with the number of daemons.
 WATCHERS = 3
 WATCH_MS = 1000
-IDLE_MS = 200
+TURN_CHECK_MS = 200
 RETRY_MS = 250
-# How old the newest answer of the platform may be before others than the watchers ask,
-# in milliseconds: two watches, and the heartbeats that tell of them.
-LATE_MS = 2 * WATCH_MS + 500
-# How much longer each further daemon waits, in milliseconds.
-STEP_MS = 50
+# How old the latest answer of the platform may be before daemons besides the watchers
+# ask: the time of two watches, and of the heartbeats that report them.
+OVERDUE_MS = 2 * WATCH_MS + 500
+# How much longer each further daemon waits.
+OVERDUE_STEP_MS = 50
 
 
 class PlatformWatch:
-    """Watches configuration and roster while this daemon is one of the few."""
+    """Watches configuration and roster while it is this daemon's turn."""
 
     def __init__(
         self,
@@ -72,17 +72,17 @@
         self._gossip.accept_roster(msgspec.convert(value, Roster))
 
     def _find_place(self) -> int:
-        """Return how many daemons ask before this one does; 0 for a watcher."""
+        """Return 0 for a watcher, else this daemon's place behind the watchers."""
         if self._store.version == 0:
             return 0
-        order = rank("platform", self._membership.alive_names())
+        ranked = rank("platform", self._membership.alive_names())
         name = self._membership.name
-        place = order.index(name) if name in order else len(order)
+        place = ranked.index(name) if name in ranked else len(ranked)
         return max(0, place - WATCHERS + 1)
 
     def _is_turn(self, place: int) -> bool:
-        late_ms = self._membership.platform_age_ms() - LATE_MS
-        return place == 0 or late_ms > place * STEP_MS
+        overdue_ms = self._membership.platform_age_ms() - OVERDUE_MS
+        return place == 0 or overdue_ms > place * OVERDUE_STEP_MS
 
     def _watch(
         self,
@@ -94,27 +94,28 @@
         while not self._runtime.stopping:
             place = self._find_place()
             if not self._is_turn(place):
-                self._runtime.sleep_ms(IDLE_MS)
+                self._runtime.sleep_ms(TURN_CHECK_MS)
                 continue
             sent_at_ms = self._runtime.clock.now_ms()
             result = self._key_value.watch(key, revision, WATCH_MS)
             if not result.is_ok() and result.error.code != Code.NOT_FOUND:
-                # In proportion, so that an outage costs a large fleet few calls.
-                spread = self._runtime.random.uniform(0.5, 1.5) * (1 + place)
-                self._runtime.sleep_ms(RETRY_MS * spread)
+                # The backoff grows with the place, so that during an outage even a
+                # large fleet makes few calls.
+                factor = self._runtime.random.uniform(0.5, 1.5) * (1 + place)
+                self._runtime.sleep_ms(RETRY_MS * factor)
                 continue
             note_answer(sent_at_ms)
             if not result.is_ok():
                 self._runtime.sleep_ms(RETRY_MS)
             elif result.ok is not None:
                 revision = result.ok.revision
-                self._take(key, accept, result.ok.value)
+                self._accept(key, accept, result.ok.value)
 
-    def _take(self, key: str, accept: Callable[[Any], None], value: Any) -> None:
-        """Accept `value`; a fault in it or in us must not end the watch for good.
+    def _accept(self, key: str, accept: Callable[[Any], None], value: Any) -> None:
+        """Accept `value`, and log any exception instead of ending the watch.
 
-        The daemon would hear of no withdrawn key any more, and nobody would notice
-        until it counted as isolated.
+        Without the watch the daemon would no longer learn of withdrawn keys, and that
+        would go unnoticed until it counted as isolated.
         """
         try:
             accept(value)
--- a/bronzerelay/rendezvous.py
+++ b/bronzerelay/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which daemons stand first for a name."""
+"""Rendezvous hashing: in which order daemons are responsible for a name."""
 
 from collections.abc import Iterable
 
@@ -6,9 +6,9 @@
 
 
 def rank(name: str, members: Iterable[str]) -> list[str]:
-    """Return `members`, the one that serves `name` first at the front.
+    """Return `members` in the order in which they are responsible for `name`.
 
-    When a member leaves, only the names that it served move.
+    When a member leaves, only the names for which it was the first one move.
     """
     return sorted(
         members,
--- a/bronzerelay/roster.py
+++ b/bronzerelay/roster.py
@@ -1,8 +1,8 @@
-"""The roster in the platform's service: joining, leaving, and the proof of death.
+"""The roster, stored in the platform's key-value service: joining, leaving, removal.
 
-A daemon joins only once the platform's list shows its VM. So a listed VM that is
-missing from a later list is gone for good, and not one that the lagging list doesn't
-show yet; its share may then go to the others.
+A daemon joins the roster only when the platform's list of VMs shows its VM. The list
+lags, but a VM that was in it and is missing from a later one is gone for good. Its
+shares may then go to the other members.
 """
 
 from collections.abc import Callable
@@ -19,42 +19,46 @@
 
 ROSTER_KEY = "roster"
 JOIN_RETRY_MS = 300
-JANITOR_MS = 1000
-# How long an answer of the platform counts, in milliseconds: what the watchers' answers
-# and the heartbeats that tell of them take, and a lost one.
-ANSWERED_MS = 3000
-CAS_TRIES = 8
+CLEANUP_INTERVAL_MS = 1000
+# How long an answer of the platform counts as recent: the time between two answers to
+# a watcher, for the heartbeats that report them, and for one lost heartbeat.
+RECENT_ANSWER_MS = 3000
+MAX_CAS_ATTEMPTS = 8
 EMPTY_ROSTER: Roster = {"epoch": 0, "members": []}
 
 
 def add_member(roster: Roster, entry: MemberEntry) -> Roster | None:
-    """Return the roster with `entry` in it, or None when it holds it already."""
+    """Return the roster with `entry` in it, or None if it has the entry already."""
     if entry in roster["members"]:
         return None
-    others = [one for one in roster["members"] if one["name"] != entry["name"]]
+    others = [member for member in roster["members"] if member["name"] != entry["name"]]
     if len(others) < len(roster["members"]):
-        # The same VM with a new address is the same holder of the same share.
+        # A VM with a new address keeps its shares, so the roster stays settled.
         return {**roster, "epoch": roster["epoch"] + 1, "members": [*others, entry]}
     return {"epoch": roster["epoch"] + 1, "members": [*others, entry]}
 
 
 def remove_members(roster: Roster, names: set[str]) -> Roster | None:
-    """Return the roster without `names`, or None when it holds none of them."""
-    others = [one for one in roster["members"] if one["name"] not in names]
+    """Return the roster without `names`, or None if it has none of them."""
+    others = [member for member in roster["members"] if member["name"] not in names]
     if len(others) == len(roster["members"]):
         return None
     return {"epoch": roster["epoch"] + 1, "members": others}
 
 
-def settle_epoch(roster: Roster, epoch: int) -> Roster | None:
-    """Return the roster marked as settled, or None when it has moved on."""
+def mark_settled(roster: Roster, epoch: int) -> Roster | None:
+    """Return the roster marked as settled, or None if there is nothing to mark.
+
+    A roster is settled when all of its members have applied it. `epoch` is the epoch
+    that they have applied.
+    """
     if roster["epoch"] != epoch or roster.get("settled"):
         return None
     return {**roster, "settled": True}
 
 
 class RosterKeeper:
-    """Brings this daemon into the roster, and takes VMs out that are gone."""
+    """Adds this daemon to the roster, and removes VMs that are gone."""
 
     def __init__(
         self,
@@ -72,14 +76,14 @@
         self._gossip = gossip
         self._log = log
         self._stopping = False
-        self._missing: set[str] = set()
+        self._missing_before: set[str] = set()
 
-    def change(self, edit: Callable[[Roster], Roster | None]) -> bool:
-        """Store what `edit` makes of the roster; return whether it is in the platform.
+    def update(self, edit: Callable[[Roster], Roster | None]) -> bool:
+        """Store the roster that `edit` returns; return whether it is stored.
 
-        Somebody else may be faster: then it is read and edited again.
+        If another daemon stores one in between, the roster is read and edited again.
         """
-        for _ in range(CAS_TRIES):
+        for _ in range(MAX_CAS_ATTEMPTS):
             stored = self._read()
             if not stored.is_ok():
                 return False
@@ -102,9 +106,9 @@
         return stored
 
     def join(self) -> None:
-        """Join as soon as the platform lists this VM; end when that is done."""
+        """Wait until the platform lists this VM, then add this daemon to the roster."""
         while not self._stopping:
-            if self._is_listed() and self.change(self._add_self):
+            if self._is_listed() and self.update(self._add_self):
                 self._log.info("This daemon is in the roster.")
                 return
             if not self._runtime.sleep_ms(JOIN_RETRY_MS):
@@ -120,22 +124,22 @@
         )
 
     def leave(self) -> bool:
-        """Take this daemon out of the roster; it must not admit any more."""
+        """Remove this daemon from the roster; it must not admit requests any more."""
         self._stopping = True
         name = self._entry["name"]
-        return self.change(lambda roster: remove_members(roster, {name}))
+        return self.update(lambda roster: remove_members(roster, {name}))
 
     def clean(self) -> None:
-        """Take VMs that are gone out of the roster, and note settled epochs."""
-        while self._runtime.sleep_ms(JANITOR_MS):
-            if self._is_janitor():
+        """Remove VMs that are gone from the roster, and mark settled epochs."""
+        while self._runtime.sleep_ms(CLEANUP_INTERVAL_MS):
+            if self._is_cleaner():
                 self._remove_gone()
-                self._settle()
+                self._mark_settled()
 
-    def _is_janitor(self) -> bool:
-        """Return whether this daemon comes first of those whom the platform answers."""
+    def _is_cleaner(self) -> bool:
+        """Return whether this daemon ranks first of those that the platform answers."""
         alive = self._membership.alive_names()
-        answered = self._membership.list_answered(alive, ANSWERED_MS)
+        answered = self._membership.filter_answered(alive, RECENT_ANSWER_MS)
         return rank("roster", answered or alive)[:1] == [self._entry["name"]]
 
     def _remove_gone(self) -> None:
@@ -146,17 +150,18 @@
         if not listed.is_ok():
             return
         missing = members - {vm.name for vm in listed.ok}
-        # What a VM lent before it went can be spent for `LOAN_LIFE_MS`, and the
-        # others would grow into it. From one look to the next more has passed.
-        gone = missing & self._missing
-        self._missing = missing
+        # Tokens that a VM lent before it ended may be spent for `LOAN_LIFE_MS`, and
+        # the others must not grow their shares before. So a VM is removed only at the
+        # second check, `CLEANUP_INTERVAL_MS` later.
+        gone = missing & self._missing_before
+        self._missing_before = missing
         if gone:
             self._log.info("VMs are gone.", extra={"vms": sorted(gone)})
-            self.change(lambda roster: remove_members(roster, gone))
+            self.update(lambda roster: remove_members(roster, gone))
 
-    def _settle(self) -> None:
+    def _mark_settled(self) -> None:
         roster = self._membership.roster
         epoch = roster["epoch"]
         if roster.get("settled") or not self._membership.all_applied(roster):
             return
-        self.change(lambda current: settle_epoch(current, epoch))
+        self.update(lambda current: mark_settled(current, epoch))
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -338,7 +338,7 @@
     Mutation(
         "a VM is gone at two looks",
         "bronzerelay/roster.py",
-        "gone = missing & self._missing",
+        "gone = missing & self._missing_before",
         "gone = missing",
         "tests/test_roster.py::test_a_vm_that_is_gone_is_taken_out_at_the_second_look",
     ),
@@ -405,11 +405,11 @@
     Mutation(
         "a daemon restarted in an outage asks its seeds",
         "bronzerelay/gossip.py",
-        "        self._fetch_news(address, result.ok)\n"
+        "        self._fetch_newer(address, result.ok)\n"
         "        return True\n"
         "\n"
-        "    def _judge",
-        "        return True\n\n    def _judge",
+        "    def _check",
+        "        return True\n\n    def _check",
         "tests/test_promise_configuration.py::test_versions_are_in_force_everywhere_and_never_go_back",
     ),
     Mutation(
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -10,8 +10,8 @@
     ROSTER_KEY,
     RosterKeeper,
     add_member,
+    mark_settled,
     remove_members,
-    settle_epoch,
 )
 from tests.builders_platform import run_platform
 from tests.fleet import StillRuntime, make_roster
@@ -91,9 +91,9 @@
 
 def test_only_the_epoch_that_was_applied_is_settled():
     roster = make_roster(4, NAMES)
-    assert settle_epoch(roster, 3) is None
-    assert settle_epoch(roster, 4)["settled"]
-    assert settle_epoch(settle_epoch(roster, 4), 4) is None
+    assert mark_settled(roster, 3) is None
+    assert mark_settled(roster, 4)["settled"]
+    assert mark_settled(mark_settled(roster, 4), 4) is None
 
 
 def test_two_daemons_that_join_at_once_are_both_in(platform):
@@ -102,10 +102,10 @@
 
     def add_second_meanwhile(roster):
         if "vm-2" not in names_of(roster):
-            assert second.keeper.change(second.keeper._add_self)
+            assert second.keeper.update(second.keeper._add_self)
         return first.keeper._add_self(roster)
 
-    assert first.keeper.change(add_second_meanwhile)
+    assert first.keeper.update(add_second_meanwhile)
     assert sorted(names_of(first.stored())) == ["vm-1", "vm-2"]
     assert first.stored()["epoch"] == 2
 
@@ -153,21 +153,21 @@
     now_ms = trial.clock.clock.now_ms()
     views = [MemberView(name, 1, 1, 1, 0, 60_000, False) for name in (first, third)]
     trial.membership.merge_reply(views, now_ms)
-    assert not trial.keeper._is_janitor()
+    assert not trial.keeper._is_cleaner()
     trial.membership.note_platform_answer(now_ms)
-    assert trial.keeper._is_janitor()
+    assert trial.keeper._is_cleaner()
 
 
 def test_a_roster_is_settled_only_when_every_member_applied_it(platform):
     trial = Trial(platform)
     trial.put(make_roster(1, ["vm-1", "vm-2"]))
     trial.membership.note_applied_epoch(1)
-    trial.keeper._settle()
+    trial.keeper._mark_settled()
     assert not trial.stored().get("settled")
     other = Membership(trial.clock, MembershipSettings("vm-2"))
     other.note_applied_epoch(1)
     trial.membership.merge_reply(other.make_views(), trial.clock.clock.now_ms())
-    trial.keeper._settle()
+    trial.keeper._mark_settled()
     assert trial.stored()["settled"]
 
 
