--- a/bronzerelay/keyvalue.py
+++ b/bronzerelay/keyvalue.py
@@ -16,12 +16,12 @@
 
 POOL_SIZE = 8
 READ_BYTES = 65536
-# A value of 1 MiB and what JSON adds around it.
+# A value of 1 MiB, with room for its JSON encoding.
 MAX_ANSWER_BYTES = 2 * 1024 * 1024
 RETRY_AFTER_MS = 1000
-# What a key that is absent has for a revision.
+# The revision of an absent key.
 ABSENT_REVISION = 0
-# Answers that leave no doubt: the service has done what it was asked, or nothing.
+# Statuses that tell for certain whether the service has run the call.
 CERTAIN_STATUSES = frozenset(
     {
         HTTPStatus.OK,
@@ -35,7 +35,7 @@
 
 
 class KeyValueSettings(NamedTuple):
-    """Where the service listens, and how long each try of a call may take."""
+    """The service's addresses, and the timeout of each attempt of a call."""
 
     addresses: tuple[Address, ...]
     caller: str
@@ -43,7 +43,7 @@
 
 
 class RevisionBody(TypedDict):
-    """The answer to a change that took effect."""
+    """The answer to a change that took effect: the new revision of its key."""
 
     revision: int
 
@@ -68,7 +68,7 @@
 
 
 class VmBody(TypedDict):
-    """A line of the list of VMs."""
+    """An entry of the list of VMs."""
 
     name: str
     state: Literal["live", "leaving"]
@@ -81,7 +81,7 @@
 
 
 class _Call(NamedTuple):
-    """One request; `repeatable` says that running it twice does no harm."""
+    """One request; `repeatable` says that it is idempotent."""
 
     method: str
     path: str
@@ -91,14 +91,14 @@
 
 
 class _Answer(NamedTuple):
-    """What the service answered, the body not yet decoded."""
+    """The service's answer, with its body not yet decoded."""
 
     status: int
     body: bytes
 
 
-class _LostError(Exception):
-    """No answer came; `may_have_run` says whether the request may have arrived."""
+class _CallError(Exception):
+    """The call got no answer; `may_have_run` says whether the request may have run."""
 
     def __init__(self, message: str, may_have_run: bool):
         super().__init__(message)
@@ -109,10 +109,10 @@
 class KeyValueClient:
     """Values, leases and the VM list of the platform; any task may call it.
 
-    Each try of a call ends within `timeout_ms` (a watch within that and its
-    `wait_ms`). A call is tried once at each address, the one that answered last
-    coming first, so a call takes at most `timeout_ms` for each address, and a `put`
-    whose answer is lost three times that.
+    Each attempt of a call ends within `timeout_ms` (a watch within that plus its
+    `wait_ms`). A call is tried once at each address, first at the one that answered
+    last. So it takes at most `timeout_ms` for each address, and a `put` whose answer is
+    lost three times that.
     """
 
     def __init__(self, runtime: Runtime, settings: KeyValueSettings):
@@ -130,33 +130,34 @@
 
     def get(self, key: str) -> Result[StoredValue, Refusal]:
         """Return the value of `key`, or NOT_FOUND."""
-        return self._ask(_Call("GET", _value_path(key))).bind(
+        return self._execute(_Call("GET", _value_path(key))).bind(
             lambda answer: _read_stored(answer, key)
         )
 
     def watch(
         self, key: str, after: int, wait_ms: float
     ) -> Result[StoredValue | None, Refusal]:
-        """Return the value once its revision is above `after`; None after `wait_ms`.
+        """Return the value once its revision is above `after`, or None after `wait_ms`.
 
-        NOT_FOUND says that the key is gone; a watch after revision 0 waits for it to
-        appear instead.
+        Refuse with NOT_FOUND if the key was deleted; a watch after revision 0 waits for
+        the key to appear instead.
         """
         query = urlencode({"after": after, "wait_ms": round(wait_ms)})
         call = _Call("GET", f"{_value_path(key)}?{query}", wait_ms=wait_ms)
-        return self._ask(call).bind(lambda answer: _read_watch(answer, key, after))
+        return self._execute(call).bind(lambda answer: _read_watch(answer, key, after))
 
     def put(
         self, key: str, value: Any, expected_revision: int, lease: str | None = None
     ) -> Result[int, Refusal]:
-        """Store `value` when the revision is the expected one; return the new one.
-
-        COMPARE_FAILED with `not_run` says that the revision was another one, with
-        `unknown` that the value has gone through and has been replaced since, or
-        never did. PLATFORM_UNAVAILABLE with `not_run` says that nothing was sent or
-        the service refused, with `unknown` that the value may be in force, now or
-        later. A lost answer counts as success when the key holds an equal value: two
-        writers who may write equal values put something of their own into them.
+        """Store `value` if the key has the expected revision; return the new one.
+
+        COMPARE_FAILED with `not_run` means that the revision was another one. With
+        `unknown`, the value may have been stored and replaced since, or not stored at
+        all. PLATFORM_UNAVAILABLE with `not_run` means that nothing was sent or the
+        service refused the call. With `unknown`, the value may be stored now or later.
+
+        A put whose answer is lost counts as successful if the key holds an equal value.
+        Writers that could write equal values must make theirs distinguishable.
         """
         body = {"value": value, "expected_revision": expected_revision}
         if lease is not None:
@@ -164,37 +165,37 @@
         call = _Call("PUT", _value_path(key), repeatable=False, body=body)
         try:
             answer = self._send(call)
-        except _LostError as error:
+        except _CallError as error:
             if not error.may_have_run:
                 return _refuse_unavailable(str(error), NOT_RUN)
             return self._resolve_put(call, key, value, expected_revision)
         if answer.status == HTTPStatus.CONFLICT:
             return _refuse_compare(key, NOT_RUN)
-        return _read(answer, RevisionBody, key).map(lambda found: found["revision"])
+        return _read(answer, RevisionBody, key).map(lambda stored: stored["revision"])
 
     def _resolve_put(
         self, call: _Call, key: str, value: Any, expected_revision: int
     ) -> Result[int, Refusal]:
-        """Find out what became of a PUT whose answer was lost.
+        """Determine the outcome of a PUT whose answer was lost.
 
-        The PUT may have run, may never run, or may still be on its way and run after
-        the read back. Told "not run" in the last case, an operator would send another
-        bundle and see the first one in force. So the same PUT is sent once more: both
-        name one expected revision, which is used once only, so at most one of the two
-        takes effect and the late one can do no harm.
+        The PUT may have run, may never run, or may be delayed and run after the key was
+        read back. If an operator were told "not run" in the last case, they would send
+        another bundle and then see the first one in force. So the same PUT is sent once
+        more. Both expect the same revision, and revisions are never reused, so at most
+        one of the two takes effect.
         """
-        found = self._find(key)
-        if found.is_error():
-            return _refuse_unavailable(found.error.message, UNKNOWN)
-        if found.ok.revision != expected_revision:
-            return _compare_stored(key, value, found.ok)
-        # "Absent" isn't used once only: the first PUT may have run and the key may
-        # have been deleted since, and a second one would bring it back.
+        current = self._get_or_absent(key)
+        if current.is_error():
+            return _refuse_unavailable(current.error.message, UNKNOWN)
+        if current.ok.revision != expected_revision:
+            return _compare_stored(key, value, current.ok)
+        # The revision of an absent key is reused: the first PUT may have run and the
+        # key may have been deleted since, so a second PUT would bring the key back.
         if expected_revision == ABSENT_REVISION:
             return _refuse_unavailable(f"the answer for {key!r} was lost", UNKNOWN)
         try:
             answer = self._send(call)
-        except _LostError as error:
+        except _CallError as error:
             return _refuse_unavailable(str(error), UNKNOWN)
         if answer.status == HTTPStatus.CONFLICT:
             return _read_body(answer, ValueBody, UNKNOWN).bind(
@@ -204,29 +205,29 @@
             lambda body: body["revision"]
         )
 
-    def _find(self, key: str) -> Result[StoredValue, Refusal]:
-        """Return the value of `key`, an absent one with revision 0."""
-        found = self.get(key)
-        if found.is_error() and found.error.code is Code.NOT_FOUND:
+    def _get_or_absent(self, key: str) -> Result[StoredValue, Refusal]:
+        """Return the value of `key`; if it is absent, None with `ABSENT_REVISION`."""
+        current = self.get(key)
+        if current.is_error() and current.error.code is Code.NOT_FOUND:
             return Ok(StoredValue(None, ABSENT_REVISION))
-        return found
+        return current
 
     def list_keys(self, prefix: str) -> Result[list[str], Refusal]:
         """Return the sorted keys that start with `prefix`."""
         call = _Call("GET", f"/v1/keys?{urlencode({'prefix': prefix})}")
-        return self._ask(call).bind(
+        return self._execute(call).bind(
             lambda answer: _read(answer, KeysBody, prefix).map(
                 lambda body: sorted(body["keys"])
             )
         )
 
     def delete(self, key: str, expected_revision: int) -> Result[None, Refusal]:
-        """Delete `key` when its revision is the expected one; refuse as `put` does."""
+        """Delete `key` if it has the expected revision; refuse as `put` does."""
         query = urlencode({"expected_revision": expected_revision})
         call = _Call("DELETE", f"{_value_path(key)}?{query}", repeatable=False)
         try:
             answer = self._send(call)
-        except _LostError as error:
+        except _CallError as error:
             if not error.may_have_run:
                 return _refuse_unavailable(str(error), NOT_RUN)
             return self._resolve_delete(key, expected_revision)
@@ -237,49 +238,49 @@
     def _resolve_delete(
         self, key: str, expected_revision: int
     ) -> Result[None, Refusal]:
-        found = self._find(key)
-        if found.is_error():
-            return _refuse_unavailable(found.error.message, UNKNOWN)
-        if found.ok.revision == ABSENT_REVISION:
+        current = self._get_or_absent(key)
+        if current.is_error():
+            return _refuse_unavailable(current.error.message, UNKNOWN)
+        if current.ok.revision == ABSENT_REVISION:
             return Ok(None)
-        if found.ok.revision == expected_revision:
+        if current.ok.revision == expected_revision:
             return _refuse_unavailable(f"the answer for {key!r} was lost", UNKNOWN)
         return _refuse_compare(key, UNKNOWN)
 
     # Leases
 
     def grant_lease(self, ttl_ms: int) -> Result[str, Refusal]:
-        """Return the id of a new lease.
+        """Grant a new lease; return its id.
 
-        Its time began before the answer came: a holder counts it from before the
-        call. When the answer is lost a lease that nobody knows lapses by itself.
+        Its time starts before the answer arrives, so the holder must count it from
+        before the call. If the answer is lost, the unused lease expires by itself.
         """
         call = _Call("POST", "/v1/leases", repeatable=False, body={"ttl_ms": ttl_ms})
-        return self._ask(call).bind(
+        return self._execute(call).bind(
             lambda answer: _read(answer, LeaseBody, "lease").map(
                 lambda body: body["lease"]
             )
         )
 
     def renew_lease(self, lease: str) -> Result[None, Refusal]:
-        """Let the lease run its whole time again; NOT_FOUND when it has lapsed.
+        """Renew the lease for its whole time; refuse with NOT_FOUND if it has expired.
 
-        A holder that was paused between its call and the answer must count the time
-        from before the call: by the clock of the service the lease may have lapsed.
+        The holder must count the time from before the call. If it was paused between
+        the call and the answer, the lease may have expired at the service.
         """
         call = _Call("POST", f"/v1/leases/{quote(lease, safe='')}/renew")
-        return self._ask(call).bind(lambda answer: _read_done(answer, lease))
+        return self._execute(call).bind(lambda answer: _read_done(answer, lease))
 
     def end_lease(self, lease: str) -> Result[None, Refusal]:
-        """End the lease and delete the keys under it."""
+        """End the lease and delete the keys attached to it."""
         call = _Call("DELETE", f"/v1/leases/{quote(lease, safe='')}")
-        return self._ask(call).bind(lambda answer: _read_done(answer, lease))
+        return self._execute(call).bind(lambda answer: _read_done(answer, lease))
 
     # VMs
 
     def list_vms(self) -> Result[list[Vm], Refusal]:
-        """Return the VMs that the platform lists; the list lags."""
-        return self._ask(_Call("GET", "/v1/vms")).bind(
+        """Return the platform's list of VMs, which may lag behind."""
+        return self._execute(_Call("GET", "/v1/vms")).bind(
             lambda answer: _read(answer, VmsBody, "vms").map(
                 lambda body: [Vm(vm["name"], vm["state"]) for vm in body["vms"]]
             )
@@ -287,19 +288,19 @@
 
     # Requests
 
-    def _ask(self, call: _Call) -> Result[_Answer, Refusal]:
-        """Return the answer, or PLATFORM_UNAVAILABLE."""
+    def _execute(self, call: _Call) -> Result[_Answer, Refusal]:
+        """Return the answer, or refuse with PLATFORM_UNAVAILABLE."""
         try:
             return Ok(self._send(call))
-        except _LostError as error:
+        except _CallError as error:
             ran = UNKNOWN if error.may_have_run else NOT_RUN
             return _refuse_unavailable(str(error), ran)
 
     def _send(self, call: _Call) -> _Answer:
-        """Return the answer of the first address that gives one, or raise _LostError.
+        """Return the answer of the first address that gives one, else raise an error.
 
-        Once a request that mustn't run twice may have arrived, no other address is
-        tried: all of them reach the same values, and both tries could take effect.
+        Once a request that isn't idempotent may have run, no other address is tried:
+        all addresses serve the same values, and both attempts could take effect.
         """
         first = self._preferred
         may_have_run = False
@@ -307,7 +308,7 @@
             index = (first + step) % len(self._pools)
             try:
                 answer = self._send_once(self._pools[index], call)
-            except _LostError as error:
+            except _CallError as error:
                 message = str(error)
                 may_have_run = may_have_run or error.may_have_run
                 if error.may_have_run and not call.repeatable:
@@ -315,17 +316,17 @@
                 continue
             self._preferred = index
             return answer
-        # The address that was tried first may be down while others would answer, so
-        # the next call begins at another one, also when this call had to stop.
+        # The address that was tried first may be down, so the next call starts at
+        # another one, even if this call couldn't try the others.
         self._preferred = (first + 1) % len(self._pools)
-        raise _LostError(message, may_have_run)
+        raise _CallError(message, may_have_run)
 
     def _send_once(self, pool: urllib3.HTTPConnectionPool, call: _Call) -> _Answer:
         limit_ms = self._timeout_ms + call.wait_ms
         end_ms = self._clock.now_ms() + limit_ms
         body = None if call.body is None else msgspec.json.encode(call.body)
         timeout = urllib3.Timeout(connect=self._timeout_ms / 1000, read=limit_ms / 1000)
-        where = f"{pool.host}:{pool.port}"
+        server = f"{pool.host}:{pool.port}"
         try:
             response = pool.urlopen(
                 call.method,
@@ -335,36 +336,37 @@
                 timeout=timeout,
                 preload_content=False,
             )
-        # These come before the first byte is sent. All others leave it open.
+        # These errors occur before anything is sent. After all others the request may
+        # have run.
         except (
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            raise _LostError(f"{where} can't be reached: {error}", False) from None
+            raise _CallError(f"{server} can't be reached: {error}", False) from None
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise _LostError(f"{where} gave no answer: {error}", True) from None
+            raise _CallError(f"{server} gave no answer: {error}", True) from None
         try:
             answer = _Answer(response.status, self._read_body(response, end_ms))
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise _LostError(f"{where} broke off its answer: {error}", True) from None
+            raise _CallError(f"{server} broke off its answer: {error}", True) from None
         if answer.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            raise _LostError(f"{where} refused the call with 503", False)
+            raise _CallError(f"{server} refused the call with 503", False)
         if answer.status not in CERTAIN_STATUSES:
-            raise _LostError(f"{where} answered {answer.status}", True)
+            raise _CallError(f"{server} answered {answer.status}", True)
         return answer
 
     def _read_body(self, response: urllib3.BaseHTTPResponse, end_ms: float) -> bytes:
-        """Return the whole body, or raise an error and close the connection.
+        """Return the whole body, or close the connection and raise an error.
 
-        A timeout of urllib3 counts from the last byte. A service that sends a byte
-        now and then would hold its caller for ever, so the time is looked at here.
+        urllib3's read timeout restarts with each byte, so a service that sends a byte
+        now and then could block the caller forever. This enforces the overall timeout.
         """
-        parts = []
+        chunks = []
         size = 0
         try:
-            while part := response.read1(READ_BYTES):
-                parts.append(part)
-                size += len(part)
+            while chunk := response.read1(READ_BYTES):
+                chunks.append(chunk)
+                size += len(chunk)
                 if size > MAX_ANSWER_BYTES:
                     raise OSError(f"it is longer than {MAX_ANSWER_BYTES} bytes")
                 if self._clock.now_ms() > end_ms:
@@ -373,7 +375,7 @@
             response.close()
             raise
         response.release_conn()
-        return b"".join(parts)
+        return b"".join(chunks)
 
 
 def _value_path(key: str) -> str:
@@ -381,7 +383,7 @@
 
 
 def _read_body(answer: _Answer, shape: Any, ran: str) -> Result[Any, Refusal]:
-    """Return the decoded body; one of another shape is as good as no answer."""
+    """Return the decoded body; refuse one that isn't of the type `shape`."""
     if answer.status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
         return _refuse_unavailable(f"unexpected status {answer.status}", ran)
     if not check_nesting(answer.body, ANSWER_NESTING):
@@ -393,7 +395,7 @@
 
 
 def _read(answer: _Answer, shape: Any, name: str) -> Result[Any, Refusal]:
-    """Return the decoded body of a call that was answered."""
+    """Return the decoded body, or the refusal for the answer's status."""
     if answer.status == HTTPStatus.NOT_FOUND:
         return refuse(Code.NOT_FOUND, f"nothing is stored at {name!r}")
     if answer.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
@@ -416,19 +418,19 @@
 ) -> Result[StoredValue | None, Refusal]:
     if answer.status == HTTPStatus.NO_CONTENT:
         return Ok(None)
-    found = _read_stored(answer, key)
-    # A service that answers at once with what is known already would be asked again
-    # and again without a pause; a refusal makes the caller wait.
-    if found.is_ok() and found.ok.revision <= after:
+    current = _read_stored(answer, key)
+    # If the service answers a watch at once with an old revision, the caller would ask
+    # again without a pause. A refusal makes it back off.
+    if current.is_ok() and current.ok.revision <= after:
         return _refuse_unavailable(f"an old revision of {key!r} was answered", NOT_RUN)
-    return found
+    return current
 
 
 def _compare_stored(key: str, value: Any, stored: StoredValue) -> Result[int, Refusal]:
-    """Return the revision when `value` is what is stored.
+    """Return the revision if `value` is what is stored.
 
-    Otherwise ours may have been stored and replaced since, or not at all, so that
-    "not run" would be a guess.
+    Otherwise our value may have been stored and replaced since, or not stored at all,
+    so the outcome is unknown.
     """
     if stored.revision != ABSENT_REVISION and stored.value == _normalize(value):
         return Ok(stored.revision)
@@ -436,7 +438,7 @@
 
 
 def _normalize(value: Any) -> Any:
-    """Return `value` as it comes back from JSON, with lists in place of tuples."""
+    """Return `value` as JSON decodes it, with lists in place of tuples."""
     return msgspec.json.decode(msgspec.json.encode(value))
 
 
--- a/bronzerelay/peers.py
+++ b/bronzerelay/peers.py
@@ -1,4 +1,4 @@
-"""The links between daemons: authenticated thrift calls over TCP."""
+"""Links between daemons: authenticated connections that carry thrift calls."""
 
 import contextlib
 import hashlib
@@ -24,23 +24,23 @@
 NONCE_BYTES = 16
 PROOF_BYTES = 32
 HANDSHAKE_TIMEOUT_MS = 1000
-# Links kept to one peer; more calls at once wait for none, they open new ones.
-KEPT_LINKS = 64
-# Calls of a link are numbered below this; thrift's numbers have 32 bits with a sign.
-LAST_NUMBER = 2**31
+# How many idle links to one peer are kept open; concurrent calls may open more.
+MAX_IDLE_LINKS = 64
+# Sequence numbers of calls stay below this, because thrift has signed 32-bit numbers.
+SEQUENCE_LIMIT = 2**31
 
 
-# The link of the call that this task runs; each task has its own value.
-_calling: ContextVar[Connection | None] = ContextVar("calling", default=None)
+# The connection of the call that the current task runs; each task has its own value.
+_call_connection: ContextVar[Connection | None] = ContextVar("calling", default=None)
 
 
 def make_wanted_check() -> Callable[[], bool]:
-    """Return a function that tells whether this task's caller still waits.
+    """Return a function that tells whether the calling peer still waits.
 
-    It is for the peer whose call the task runs, and says yes outside of a call. A peer
-    sends nothing while it waits, and hangs up when it has given up.
+    It refers to the call that the current task runs, and returns True outside of a
+    call. A peer sends nothing while it waits, and closes the link when it gives up.
     """
-    connection = _calling.get()
+    connection = _call_connection.get()
     if connection is None:
         return lambda: True
 
@@ -73,7 +73,7 @@
         self._connection = connection
 
     def isOpen(self) -> bool:  # noqa: N802 (thrift's name)
-        """Return True; a closed connection shows at the next call."""
+        """Return True; a closed connection is detected by the next call."""
         return True
 
     def read(self, size: int) -> bytes:
@@ -101,11 +101,11 @@
 
 
 class NumberedProtocol(TBinaryProtocolAccelerated):
-    """Numbers the calls of a link and passes over answers to earlier ones.
+    """Numbers the calls of a link, and skips answers to earlier calls.
 
-    The generated client gives all calls the number 0 and looks at none. An answer that
-    comes twice, the second time after the link was looked at, would be taken for that
-    of the next call: a commit would count as done before it has run.
+    The generated client gives all calls the number 0 and checks none. If an answer
+    arrived twice, the second time after the link's check for unread data, it would be
+    taken for the answer to the next call: a commit would count as done before it ran.
     """
 
     def __init__(self, transport: TTransportBase):
@@ -113,12 +113,12 @@
         self._number = 0
 
     def writeMessageBegin(self, name: str, kind: int, seqid: int) -> None:  # noqa: N802
-        """Begin a call under the next number."""
-        self._number = (self._number + 1) % LAST_NUMBER
+        """Write the header of a call, with the next number."""
+        self._number = (self._number + 1) % SEQUENCE_LIMIT
         super().writeMessageBegin(name, kind, self._number)
 
     def readMessageBegin(self) -> tuple[str, int, int]:  # noqa: N802
-        """Return the head of the answer to the last call."""
+        """Return the header of the answer to the last call."""
         while True:
             name, kind, seqid = super().readMessageBegin()
             if seqid == self._number:
@@ -127,34 +127,34 @@
             self.readMessageEnd()
 
 
-def prove(secret: str, role: str, nonces: bytes) -> bytes:
-    """Return the proof that its sender knows `secret` and plays `role`."""
+def make_proof(secret: str, role: str, nonces: bytes) -> bytes:
+    """Return the proof that its sender knows `secret`, for its role and the nonces."""
     return hmac.digest(secret.encode(), role.encode() + nonces, hashlib.sha256)
 
 
 def greet_server(runtime: Runtime, connection: Connection, secret: str) -> None:
-    """Prove the secret to the server and check its proof; raise OSError if wrong.
+    """Run the client's side of the handshake; raise OSError on a wrong proof.
 
-    Both sides add a nonce, so that a recorded link can't be played again, and the
-    role is part of the proof, so that a proof can't be sent back to its maker.
+    Both sides contribute a nonce against replay of a recorded handshake. The role is
+    part of the proof, so that a proof can't be reflected to its sender.
     """
     own_nonce = runtime.random.randbytes(NONCE_BYTES)
     nonces = connection.receive_exactly(NONCE_BYTES) + own_nonce
-    connection.send(own_nonce + prove(secret, "client", nonces))
+    connection.send(own_nonce + make_proof(secret, "client", nonces))
     proof = connection.receive_exactly(PROOF_BYTES)
-    if not hmac.compare_digest(proof, prove(secret, "server", nonces)):
+    if not hmac.compare_digest(proof, make_proof(secret, "server", nonces)):
         raise ConnectionRefusedError("the peer doesn't know the peer secret")
 
 
 def greet_client(runtime: Runtime, connection: Connection, secret: str) -> bool:
-    """Return whether the client proved the secret, and prove it in turn."""
+    """Run the server's side of the handshake; return False on a wrong proof."""
     own_nonce = runtime.random.randbytes(NONCE_BYTES)
     connection.send(own_nonce)
     nonces = own_nonce + connection.receive_exactly(NONCE_BYTES)
     proof = connection.receive_exactly(PROOF_BYTES)
-    if not hmac.compare_digest(proof, prove(secret, "client", nonces)):
+    if not hmac.compare_digest(proof, make_proof(secret, "client", nonces)):
         return False
-    connection.send(prove(secret, "server", nonces))
+    connection.send(make_proof(secret, "server", nonces))
     return True
 
 
@@ -181,7 +181,7 @@
 
     @property
     def address(self) -> Address:
-        """Return the address that peers dial."""
+        """Return the address that peers connect to."""
         return self._listener.address
 
     def start(self) -> None:
@@ -209,8 +209,8 @@
                 return
             self._answer_calls(connection)
         except (OSError, EOFError, TException):
-            # The peer went away or spoke nonsense; the link ends and the peer
-            # sees that as a lost call.
+            # The peer disconnected or violated the protocol. The link is closed, and
+            # the peer sees that as a lost call.
             return
         finally:
             with self._lock:
@@ -221,16 +221,16 @@
         connection.set_timeout(None)
         protocol = make_protocol(connection)
         while self._wait_for_call(connection, protocol):
-            token = _calling.set(connection)
+            token = _call_connection.set(connection)
             try:
                 self._processor.process(protocol, protocol)
             finally:
-                _calling.reset(token)
+                _call_connection.reset(token)
                 with self._lock:
                     self._active -= 1
 
     def _wait_for_call(self, connection: Connection, protocol: Any) -> bool:
-        """Return True once a call has begun to arrive, counted as active."""
+        """Wait for a call and count it as active; return False while draining."""
         with self._lock:
             if self._draining:
                 return False
@@ -242,9 +242,9 @@
         return True
 
     def drain(self, deadline_ms: float) -> bool:
-        """Finish the calls that run, end idle links; return whether all ended.
+        """Wait for running calls, then close idle links; return whether all ended.
 
-        A peer whose link ends here had no call on it, so it loses nothing.
+        A link that is closed here carries no call, so the peer loses nothing.
         """
         self._listener.close()
         end_ms = self._runtime.clock.now_ms() + deadline_ms
@@ -270,28 +270,28 @@
 
 
 class PeerLinks:
-    """The links to all peers; a link carries one call at a time."""
+    """A pool of links to all peers; a link carries one call at a time."""
 
     def __init__(self, runtime: Runtime, secret: str):
         self._runtime = runtime
         self._secret = secret
         self._lock = runtime.make_lock()
-        self._kept: dict[Address, list[PeerLink]] = {}
-        self._used: dict[Address, set[Connection]] = {}
+        self._idle_links: dict[Address, list[PeerLink]] = {}
+        self._active: dict[Address, set[Connection]] = {}
 
     def call(
         self, address: Address, method: str, argument: Any, timeout_ms: float
     ) -> Result[Any, PeerError]:
-        """Call `method` of the peer; return its reply or why there is none."""
+        """Call `method` of the peer; return its reply, or why there is none."""
         try:
-            link = self._take(address, timeout_ms)
+            link = self._acquire(address, timeout_ms)
         except (OSError, EOFError) as error:
             message = f"{address} can't be reached: {error}"
             is_unreachable = not isinstance(error, TimeoutError)
             return Error(
                 PeerError(message, may_have_run=False, is_unreachable=is_unreachable)
             )
-        self._note_used(address, link)
+        self._mark_active(address, link)
         try:
             link.connection.set_timeout(max(1.0, timeout_ms))
             reply = getattr(link.client, method)(argument)
@@ -302,36 +302,36 @@
             )
         finally:
             with self._lock:
-                self._used[address].discard(link.connection)
-        self._keep(address, link)
+                self._active[address].discard(link.connection)
+        self._release(address, link)
         return Ok(reply)
 
-    def _note_used(self, address: Address, link: PeerLink) -> None:
+    def _mark_active(self, address: Address, link: PeerLink) -> None:
         with self._lock:
-            self._used.setdefault(address, set()).add(link.connection)
+            self._active.setdefault(address, set()).add(link.connection)
 
     def drop(self, address: Address) -> int:
-        """Close all links to a suspected peer; return how many were in a call.
+        """Close all links to a peer that is suspected dead; return how many had a call.
 
-        A frozen peer keeps its connections open. Its callers would wait until their
-        deadlines, where the next daemon could have settled the matter long ago.
+        A frozen peer keeps its connections open. Calls to it would wait until their
+        deadlines, though another daemon could settle their outcome earlier.
         """
         with self._lock:
-            connections = list(self._used.get(address, ()))
-            kept = self._kept.pop(address, [])
-        for connection in connections + [link.connection for link in kept]:
+            connections = list(self._active.get(address, ()))
+            idle = self._idle_links.pop(address, [])
+        for connection in connections + [link.connection for link in idle]:
             connection.close()
         return len(connections)
 
-    def _take(self, address: Address, timeout_ms: float) -> PeerLink:
+    def _acquire(self, address: Address, timeout_ms: float) -> PeerLink:
         while True:
             with self._lock:
-                kept = self._kept.get(address)
-                link = kept.pop() if kept else None
+                idle = self._idle_links.get(address)
+                link = idle.pop() if idle else None
             if link is None:
                 return self._open(address, timeout_ms)
-            # A peer that has restarted left a dead link behind. A call sent on it
-            # would count as one that may have run; a look first avoids the doubt.
+            # A link to a peer that has restarted is dead, and a call sent on it would
+            # count as one that may have run. Checking the link first avoids that.
             if link.connection.is_quiet():
                 return link
             link.connection.close()
@@ -348,10 +348,10 @@
         transport = TFramedTransport(ConnectionTransport(connection))
         return PeerLink(connection, Peer.Client(NumberedProtocol(transport)))
 
-    def _keep(self, address: Address, link: PeerLink) -> None:
+    def _release(self, address: Address, link: PeerLink) -> None:
         with self._lock:
-            kept = self._kept.setdefault(address, [])
-            if len(kept) < KEPT_LINKS:
-                kept.append(link)
+            idle = self._idle_links.setdefault(address, [])
+            if len(idle) < MAX_IDLE_LINKS:
+                idle.append(link)
                 return
         link.connection.close()
--- a/bronzerelay/replies.py
+++ b/bronzerelay/replies.py
@@ -1,4 +1,4 @@
-"""Results as they travel between daemons."""
+"""Encoding of statement results in thrift replies between daemons."""
 
 import msgspec
 from expression import Ok, Result
@@ -11,7 +11,7 @@
 
 
 def pack_reply(result: Result[StatementAnswer, Refusal]) -> StatementReply:
-    """Return `result` as it travels between daemons."""
+    """Return `result` as a thrift reply."""
     if result.is_ok():
         answer = msgspec.json.encode(result.ok)
         return StatementReply(
--- a/bronzerelay/sessions.py
+++ b/bronzerelay/sessions.py
@@ -1,4 +1,4 @@
-"""The session token: what a caller has seen of each database group."""
+"""The session token: the log position that a caller has seen of each group."""
 
 import base64
 import binascii
@@ -9,7 +9,7 @@
 from bronzerelay.codes import Code, Refusal, refuse
 from bronzerelay.types import Position
 
-# A token holds a few groups; a longer one is not one of ours.
+# A session has a few groups, so a longer token can't have been issued by a daemon.
 MAX_TOKEN_LENGTH = 4096
 
 _decoder = msgspec.msgpack.Decoder(dict[str, Position])
@@ -18,13 +18,13 @@
 
 
 def encode_session(session: Session) -> str:
-    """Return the token that any daemon can decode."""
+    """Return the token for `session`, which any daemon can decode."""
     packed = msgspec.msgpack.encode(session)
     return base64.urlsafe_b64encode(packed).decode().rstrip("=")
 
 
 def decode_session(token: str) -> Result[Session, Refusal]:
-    """Return the session in `token`; an empty token is an empty session."""
+    """Return the session in `token`; an empty token stands for an empty session."""
     if not token:
         return Ok({})
     if len(token) > MAX_TOKEN_LENGTH:
@@ -40,6 +40,6 @@
 
 
 def advance_session(session: Session, group: str, seen: Position) -> Session:
-    """Return `session` with `group` moved on to `seen`, never back."""
+    """Return `session` with `group` at `seen`, if that is later than its position."""
     known = session.get(group, Position(0, 0))
     return {**session, group: max(known, seen)}
--- a/bronzerelay/statements.py
+++ b/bronzerelay/statements.py
@@ -1,4 +1,4 @@
-"""Checks of the body that a caller sends to run a statement."""
+"""Decodes and checks the body of a caller's request to run a statement."""
 
 from typing import Any, get_type_hints
 
@@ -10,7 +10,7 @@
 from bronzerelay.types import Statement, StatementRequest
 
 IDEMPOTENCY_KEY_LENGTH = 200
-# The fields that a verb needs, besides `row`.
+# The fields that each verb requires, besides `row`.
 VERB_FIELDS = {
     "get": set(),
     "delete": set(),
@@ -35,10 +35,10 @@
 
 
 def decode_request(body: bytes) -> Result[StatementRequest, Refusal]:
-    """Return the checked request that `body` holds.
+    """Return the checked request in `body`.
 
-    Refuse a body that isn't JSON (MALFORMED_JSON), and one with a wrong, missing or
-    unknown field (INVALID_STATEMENT).
+    Refuse a body that isn't JSON with MALFORMED_JSON, and one with an invalid, missing
+    or unknown field with INVALID_STATEMENT.
     """
     if not check_nesting(body):
         message = f"The body nests deeper than {MAX_NESTING} levels."
@@ -58,9 +58,9 @@
 
 
 def find_mistake(request: dict[str, Any]) -> str:
-    """Return what is wrong with a request of the right types, or an empty text."""
-    # A misspelt `idempotency_key` that was passed over would let a repeated order
-    # run twice, so an unknown field is refused.
+    """Return a message about the first mistake in a decoded request, or ""."""
+    # Unknown fields are refused: if a misspelt `idempotency_key` were ignored, a
+    # repeated write could run twice.
     unknown = set(request) - REQUEST_FIELDS
     if unknown:
         return f"Unknown field `{min(unknown)}`."
--- a/bronzerelay/work.py
+++ b/bronzerelay/work.py
@@ -1,4 +1,4 @@
-"""A request as the daemon that serves its group holds it."""
+"""A request, as the daemons pass it on and the serving daemon runs it."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -6,16 +6,16 @@
 from bronzerelay.sessions import Session
 from bronzerelay.types import StatementRequest
 
-# The endpoint keeps an attempt's number behind the request's own id.
+# Separates the request's id from the number of the attempt, in ids at the endpoint.
 ATTEMPT_MARK = "#"
 
 
 class Work(NamedTuple):
-    """One request at the serving daemon; `deadline_ms` is of the own clock.
+    """One request; `deadline_ms` is on this daemon's clock.
 
-    `request_id` names the change at the endpoints and never repeats. `trace_id` is the
-    id that the caller knows, for the logs of each daemon on the way. `is_wanted` tells
-    whether anybody still waits for the answer.
+    `request_id` identifies the write at the endpoints and is never reused. `trace_id`
+    is the id that the caller knows, for the logs of each daemon that handles the
+    request. `is_wanted` tells whether anybody still waits for the answer.
     """
 
     request_id: str
@@ -34,9 +34,9 @@
     def write_id(self, attempt: int) -> str:
         """Return the id under which the endpoint records this attempt.
 
-        A caller's idempotency key names the same change through whatever daemon it
-        comes, so it takes the place of the request's own id.
+        A caller's idempotency key takes the place of the request's own id, because it
+        identifies the same write at whatever daemon the request arrives.
         """
         key = self.request.get("idempotency_key")
-        name = f"{self.workspace}/{key}" if key else self.request_id
-        return f"{name}{ATTEMPT_MARK}{attempt}"
+        base = f"{self.workspace}/{key}" if key else self.request_id
+        return f"{base}{ATTEMPT_MARK}{attempt}"
