--- a/tests/builders_daemons.py
+++ b/tests/builders_daemons.py
@@ -1,4 +1,4 @@
-"""Builders of small daemons: the real front and configuration, and no groups."""
+"""Builders of small daemons: real front end and configuration, but no groups."""
 
 import io
 
@@ -17,7 +17,7 @@
 
 
 class SmallDaemon:
-    """A daemon that follows the platform's configuration until it is cut off."""
+    """A daemon that applies the platform's configuration until it is cut off."""
 
     def __init__(
         self, platform: Platform, name: str, members: tuple[str, ...], **settings: str
@@ -48,10 +48,10 @@
     def _follow(self) -> None:
         revision = 0
         while not self._runtime.stopping:
-            found = self._key_value.watch(CURRENT_KEY, revision, WATCH_MS)
-            if found.is_ok() and found.ok is not None and not self.cut_off:
-                revision = found.ok.revision
-                self.store.accept(found.ok.value)
+            watched = self._key_value.watch(CURRENT_KEY, revision, WATCH_MS)
+            if watched.is_ok() and watched.ok is not None and not self.cut_off:
+                revision = watched.ok.revision
+                self.store.accept(watched.ok.value)
 
     def _show_status(self) -> dict:
         record = self.store.record
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""Builders of daemons inside the test's process, before endpoint stand-ins."""
+"""Builders of daemons inside the test's process, in front of endpoint stand-ins."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -34,7 +34,7 @@
 
 
 class KernelSettings(NamedTuple):
-    """What the kernel needs of a daemon's settings."""
+    """The part of a daemon's settings that the kernel uses."""
 
     name: str
     default_deadline_ms: int = DEADLINE_MS
@@ -43,19 +43,19 @@
 
 
 class FreeShares:
-    """Rates without a limit."""
+    """Shares without a limit: every request gets its token."""
 
     def spend(self, workspace: str) -> Result:
         return Ok(None)
 
 
 class Node:
-    """A daemon without front and platform; its peers reach it through `cutter`."""
+    """A daemon without front end and platform; its peers reach it through `cutter`."""
 
     def __init__(self, group: Group, name: str, statement_timeout_ms: int):
         self.runtime = runtime = group.runtime
         self.name = name
-        # Through these it reaches the instances, and no other daemon does.
+        # Only this daemon's connections to the instances go through these.
         self.relays = {
             one: Cutter(runtime, group.servers[one].address) for one in NAMES
         }
@@ -101,7 +101,7 @@
         self.store.call_on_change(self.groups.set_configuration)
 
     def join(self, nodes: list["Node"]) -> None:
-        """Let this daemon hear of all `nodes`, as if heartbeats never stopped."""
+        """Make all `nodes` members that stay alive without heartbeats."""
         members = [
             {"name": one.name, "address": str(one.cutter.address), "failure_domain": ""}
             for one in nodes
@@ -112,7 +112,7 @@
         self.membership.note_platform_answer(self.runtime.clock.now_ms())
 
     def send(self, action: str = "", key: str = "", **fields: Any) -> Result:
-        """Run a request as a caller's; `key` is its idempotency key."""
+        """Run a request as a caller would; `key` is its idempotency key."""
         request = {"group": "orders", **fields}
         if key:
             request["idempotency_key"] = key
@@ -122,7 +122,7 @@
 
 
 def build_record(node: Node) -> ConfigRecord:
-    """Return a configuration with the instances as `node` reaches them."""
+    """Return a configuration with the instances' addresses as `node` reaches them."""
     endpoints = [
         make_endpoint(name, relay.address.port) for name, relay in node.relays.items()
     ]
@@ -142,7 +142,7 @@
 
 
 class Deployment:
-    """A group of three instances, and daemons before it."""
+    """A group of three instances, and the daemons in front of it."""
 
     def __init__(self, group: Group, count: int, statement_timeout_ms: int):
         self.group = group
@@ -160,7 +160,7 @@
         self.ranked = [by_name[name] for name in ranked]
 
     def warm_up(self) -> None:
-        """Open the links that the tests cut, so that no greeting is struck."""
+        """Open the links that the tests cut, so that no fault strikes a handshake."""
         for node in self.nodes:
             server = node.groups.find("orders")
             wait_until(self.runtime, lambda s=server: s.components.watch.primary())
@@ -176,16 +176,16 @@
         return max(primaries)[1]
 
     def read_row(self, row: str) -> Any:
-        """Return what the group holds, as its primary says."""
+        """Return the value of a row at the primary."""
         return self.group.instance(self.find_primary()).rows.get(row)
 
     def count_writes(self, row: str) -> int:
-        """Return how many changes of the row stand in the primary's log."""
+        """Return how many entries of the primary's log change the row."""
         entries = self.group.instance(self.find_primary()).entries
         return sum(row in entry["changes"] for entry in entries)
 
     def list_executions(self, *ops: str) -> list[Execution]:
-        """Return what the instances were asked to run, of these ops."""
+        """Return the executions at all instances of these ops."""
         return [
             execution
             for name in NAMES
@@ -198,7 +198,7 @@
 def open_deployment(
     count: int = 2, statement_timeout_ms: int = 250, **changes: Any
 ) -> Iterator[Deployment]:
-    """Give a deployment of `count` daemons; `changes` go to the instances."""
+    """Yield a deployment of `count` daemons; `changes` go to the instances."""
     with open_runtime(task_limit=800) as runtime:
         group = Group(runtime, **changes)
         deployment = Deployment(group, count, statement_timeout_ms)
@@ -213,7 +213,7 @@
 
 
 def make_work(node: Node, statement: dict, name: str = "", **fields: Any) -> Work:
-    """Return work as the serving daemon gets it; `name` is its request id."""
+    """Return work as the serving daemon receives it; `name` is its request id."""
     request = {"group": "orders", "statement": statement, **fields}
     deadline_ms = node.runtime.clock.now_ms() + DEADLINE_MS
     name = name or node.runtime.random.randbytes(8).hex()
@@ -221,7 +221,7 @@
 
 
 def hold_all_slots(node: Node) -> Callable[[], None]:
-    """Take every slot of the primary at a daemon; return what frees them."""
+    """Acquire all slots of the primary at a daemon; return a function to release them."""
     server = node.groups.find("orders")
     primary = server.components.watch.primary()
     count = server.spec.endpoints[0].slots
@@ -237,7 +237,7 @@
 
 
 def wait_until_idle(deployment: Deployment) -> None:
-    """Wait until no daemon runs a request of a peer."""
+    """Wait until no daemon runs a peer's request."""
     servers = [node.server for node in deployment.nodes]
     wait_until(
         deployment.runtime, lambda: not any(server._active for server in servers)
@@ -245,13 +245,13 @@
 
 
 def outcome_of(result) -> str:
-    """Return what a caller reads about its request."""
+    """Return what the caller is told: whether its request ran."""
     return RAN if result.is_ok() else result.error.ran
 
 
-def check_outcome(deployment: Deployment, told: str, row: str) -> None:
-    """Check what a caller was told against the effects at the endpoint."""
+def check_outcome(deployment: Deployment, outcome: str, row: str) -> None:
+    """Check the outcome that a caller was told against the effects at the endpoint."""
     effects = deployment.count_writes(row)
     assert effects <= 1
-    if told != UNKNOWN:
-        assert effects == (told == RAN), f"told {told}, {effects} effects"
+    if outcome != UNKNOWN:
+        assert effects == (outcome == RAN), f"told {outcome}, {effects} effects"
--- a/tests/test_daemon_gossip.py
+++ b/tests/test_daemon_gossip.py
@@ -1,4 +1,4 @@
-"""What a daemon learns from heartbeats, and in which order."""
+"""Tests of the gossip between daemons: replies to heartbeats, pauses, silent peers."""
 
 import io
 import json
@@ -18,7 +18,7 @@
 
 
 class FakeStore:
-    """A configuration of one version."""
+    """A store that holds only a version."""
 
     def __init__(self):
         self.version = 1
@@ -28,7 +28,7 @@
 
 
 class FakeMembership:
-    """Notes which version was in force when a peer's views were taken over."""
+    """Records which version was in force when a peer's views were merged."""
 
     name = "vm-1"
     roster = {"epoch": 1, "members": []}
@@ -48,32 +48,32 @@
 
 
 class FakeLinks:
-    """A peer that has version 2, and gives it unless it is cut off meanwhile."""
+    """Links to a peer with version 2, which it may not let others fetch."""
 
-    def __init__(self, gives):
-        self._gives = gives
+    def __init__(self, serves_config):
+        self._serves_config = serves_config
 
     def call(self, address, method, argument, timeout_ms):
         if method == "beat":
             return Ok(Beat("vm-2", 1, 2, []))
-        if not self._gives:
+        if not self._serves_config:
             return Error(None)
         return Ok(Record(version=2, value=b'{"version": 2}'))
 
 
-@pytest.mark.parametrize(("gives", "merged_at"), [(True, [2]), (False, [])])
-def test_a_reply_counts_once_the_configuration_that_it_announces_is_here(
-    gives, merged_at
+@pytest.mark.parametrize(("serves_config", "merged_at"), [(True, [2]), (False, [])])
+def test_a_reply_is_merged_only_with_the_configuration_that_it_announces(
+    serves_config, merged_at
 ):
-    """A daemon was frozen while a key was withdrawn. The first reply that it gets says
-    that the platform answers others, and that there is a newer version. Taken over at
-    once, the first would let requests in with the withdrawn key until the second is
-    fetched.
+    """A daemon was frozen while a key was withdrawn. The first reply that it gets
+    reports that the platform answers others, and that there is a newer version. If its
+    views were merged at once, the daemon would accept the withdrawn key until it has
+    fetched that version.
     """
     with open_runtime(10) as runtime:
         store = FakeStore()
         membership = FakeMembership(store)
-        links = FakeLinks(gives)
+        links = FakeLinks(serves_config)
         settings = GossipSettings()
         gossip = Gossip(runtime, settings, membership, store, links, None)
         assert gossip.send_heartbeat("vm-2", PEER)
@@ -81,7 +81,7 @@
 
 
 class MarkingMembership(FakeMembership):
-    """Notes who is marked as unreachable."""
+    """Records which members are marked as unreachable."""
 
     def __init__(self):
         super().__init__(FakeStore())
@@ -92,11 +92,11 @@
 
 
 @pytest.mark.parametrize(("is_unreachable", "marked"), [(False, []), (True, ["vm-2"])])
-def test_a_heartbeat_that_times_out_marks_nobody(is_unreachable, marked):
-    """Guards against a peer that counts as dead for one slow handshake."""
+def test_a_heartbeat_that_times_out_marks_no_peer_unreachable(is_unreachable, marked):
+    """Guards against a peer that counts as dead because of one slow handshake."""
     membership = MarkingMembership()
     with open_runtime(10) as runtime:
-        links = FakeLinks(gives=False)
+        links = FakeLinks(serves_config=False)
         error = PeerError(
             "vm-2 can't be reached", may_have_run=False, is_unreachable=is_unreachable
         )
@@ -131,8 +131,8 @@
         return "refused"
 
 
-def test_a_late_look_at_the_peers_is_a_pause_of_this_daemon():
-    """Guards against a daemon that holds its own pause against its peers."""
+def test_a_late_liveness_check_is_a_pause_of_this_daemon():
+    """Guards against a daemon whose own pause makes its peers count as dead."""
     stream = io.StringIO()
     with open_runtime(10) as runtime:
         membership = Membership(runtime, MembershipSettings("vm-1"))
@@ -146,11 +146,11 @@
     assert json.loads(stream.getvalue())["paused_ms"] >= 2 * PAUSE_MS
 
 
-def test_the_line_of_a_silent_peer_tells_its_inputs():
-    """Guards against a log that hides how old the news was and what was cut."""
+def test_the_log_line_of_a_silent_peer_has_its_inputs():
+    """Guards against a log without the age of the view and the calls that were cut."""
     stream = io.StringIO()
     with open_runtime(10) as runtime:
-        links = FakeLinks(gives=True)
+        links = FakeLinks(serves_config=True)
         links.drop = lambda address: 7
         log = open_log("spread", stream)
         settings = GossipSettings()
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -1,4 +1,4 @@
-"""Tests of the kernel: what a request leaves behind on its way."""
+"""Tests of the kernel: the log lines of a request."""
 
 import logging
 
@@ -10,8 +10,8 @@
 REQUEST_ID = "till-7"
 
 
-class Keeper(logging.Handler):
-    """Keeps the records that it is given."""
+class RecordingHandler(logging.Handler):
+    """Collects the log records that it handles."""
 
     def __init__(self):
         super().__init__()
@@ -22,22 +22,23 @@
 
 
 @pytest.fixture
-def kept():
-    """Give the records of the kernel's log, the detailed ones too."""
+def records():
+    """Yield the records of the kernel's log, debug records included."""
     logger = logging.getLogger("bronzerelay.kernel")
-    keeper = Keeper()
+    handler = RecordingHandler()
     level = logger.level
-    logger.addHandler(keeper)
+    logger.addHandler(handler)
     logger.setLevel(logging.DEBUG)
-    yield keeper.records
+    yield handler.records
     logger.setLevel(level)
-    logger.removeHandler(keeper)
+    logger.removeHandler(handler)
 
 
-def test_a_request_id_follows_a_request_across_daemons(kept):
-    """A caller reports an id, and operators look for it in the logs of two daemons.
+def test_a_request_id_follows_a_request_across_daemons(records):
+    """Guards against a forwarded request whose id is missing in a daemon's log.
 
-    Without it in both, nobody finds which daemon served the request.
+    Operators search the logs for the id that a caller reports, to find the daemon that
+    served the request.
     """
     with open_deployment() as deployment:
         deployment.warm_up()
@@ -45,5 +46,5 @@
         request = {"group": "orders", "statement": get("row")}
         answer = other.kernel.run_statement(WORKSPACE, KEY, request, REQUEST_ID)
         assert answer.is_ok()
-    ids = [getattr(record, "request_id", "") for record in kept]
+    ids = [getattr(record, "request_id", "") for record in records]
     assert ids.count(REQUEST_ID) == 2
--- a/tests/test_keyvalue.py
+++ b/tests/test_keyvalue.py
@@ -1,4 +1,4 @@
-"""Tests of the client of the key-value service, failures first."""
+"""Tests of the key-value client, mostly of its handling of failures."""
 
 import contextlib
 
@@ -18,7 +18,7 @@
 
 
 class RecordingStore(Store):
-    """A store that keeps the outcome of each PUT."""
+    """A store that records the outcome of each PUT."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -31,7 +31,7 @@
 
 
 class RacingStore(Store):
-    """A store whose first read comes just after somebody else's write."""
+    """A store in which another writer writes just before the first read."""
 
     raced = False
 
@@ -54,9 +54,9 @@
 
 
 def test_a_put_whose_answer_is_lost_succeeds_once(platform):
-    """The platform stores a bundle and the connection breaks before its answer. Told
-    "failed", an operator would roll the same bundle out once more; sent again to
-    another address of the platform, it would be refused as changed by somebody else.
+    """The platform stores a bundle and the connection breaks before its answer. If the
+    operator were told "failed", they would roll out the same bundle again. If the
+    client sent it again, it would be refused because of its own first PUT.
     """
     losing = platform.add_server()
     losing.set_fault(LOSE_ANSWERS)
@@ -66,9 +66,9 @@
     losing.stop()
 
 
-def test_a_lost_put_that_was_replaced_since_is_not_called_not_run():
-    """Our write takes effect, its answer is lost, and another operator writes before
-    we read back. "Not run" would be false: ours was in force for a moment.
+def test_a_lost_put_that_was_replaced_since_is_unknown():
+    """A write takes effect, its answer is lost, and another operator writes before the
+    read back. "Not run" would be false: the first value was in force for a moment.
     """
     with run_platform(RacingStore) as platform:
         platform.server.set_fault(LOSE_ANSWERS, count=1)
@@ -77,8 +77,8 @@
 
 
 def test_a_put_that_arrives_late_takes_effect_once():
-    """The platform is slow and the client gives up before the PUT runs. It reads the
-    old value, yet the PUT is still to come; the value must not be stored twice.
+    """The platform is slow, and the client gives up before the PUT runs. It reads the
+    old value, and the PUT runs later. The value must not be stored twice.
     """
     with run_platform(RecordingStore) as platform:
         assert platform.make_client().put("roster", "old", 0) == Ok(1)
@@ -94,7 +94,7 @@
 
 def test_a_late_put_of_an_absent_key_is_unknown(platform):
     """The key is absent when the client reads back, and appears a moment later. A
-    second PUT could bring back a key that was deleted meanwhile.
+    second PUT could restore a key that was deleted in between.
     """
     platform.server.set_fault(SLOW, delay_ms=3 * SHORT_MS, count=1)
     client = platform.make_client(timeout_ms=SHORT_MS)
@@ -107,9 +107,9 @@
 @pytest.mark.parametrize(
     ("mode", "ran"), [(REFUSE, NOT_RUN), (DOWN, UNKNOWN), (LOSE_ANSWERS, UNKNOWN)]
 )
-def test_a_put_during_an_outage_tells_what_is_known(platform, mode, ran):
-    """The platform refuses, hangs or breaks off every call. An operator sees an error
-    that says whether the change can still come into force, and no call hangs.
+def test_a_put_during_an_outage_reports_whether_it_may_have_run(platform, mode, ran):
+    """The platform refuses every call, doesn't answer, or breaks off its answers. The
+    error must say whether the change may still come into force, and no call may hang.
     """
     client = platform.make_client(timeout_ms=SHORT_MS)
     platform.server.set_fault(mode)
@@ -119,8 +119,8 @@
     assert sum(platform.server.show_calls()["by_caller"].values()) <= 3
 
 
-def test_a_put_to_nobody_has_not_run():
-    """Nobody listens at the address, so nothing was sent, and the error says so."""
+def test_a_put_without_a_server_has_not_run():
+    """No server listens at the address, so nothing was sent, and the error says so."""
     runtime = Runtime(task_limit=2)
     settings = KeyValueSettings((find_free_address(runtime),), "vm-1")
     result = KeyValueClient(runtime, settings).put("roster", "new", 0)
@@ -129,8 +129,8 @@
 
 
 def test_of_racing_puts_one_wins(platform):
-    """Eight daemons change the roster from one revision at the same time. Were two
-    told that they won, each would act on a roster that the other one has replaced.
+    """Eight daemons change the roster from the same revision at the same time. If two
+    succeeded, one of them would act on a roster that the other one has replaced.
     """
     clients = [platform.make_client(caller=f"vm-{n}") for n in range(8)]
     tasks = [
@@ -143,16 +143,16 @@
     assert losers == {(Code.COMPARE_FAILED, NOT_RUN)}
 
 
-def test_a_lease_lapses_while_its_holder_is_paused(platform):
-    """A daemon is paused past its lease. When it goes on, its key has been deleted,
-    a renewal is refused, and nothing more can be stored under the lease.
+def test_a_lease_expires_while_its_holder_is_paused(platform):
+    """A daemon is paused for longer than its lease. When it resumes, its key has been
+    deleted, a renewal is refused, and nothing more can be stored under the lease.
     """
     client = platform.make_client()
     lease = client.grant_lease(SHORT_MS).ok
     revision = client.put("holder", "vm-1", 0, lease).ok
     watcher = platform.make_client(caller="vm-2")
-    lapsed = platform.runtime.start(watcher.watch, "holder", revision, 60_000)
-    assert lapsed.result(20).error.code is Code.NOT_FOUND
+    expired = platform.runtime.start(watcher.watch, "holder", revision, 60_000)
+    assert expired.result(20).error.code is Code.NOT_FOUND
     assert client.renew_lease(lease).error.code is Code.NOT_FOUND
     assert client.put("holder", "vm-1", 0, lease).is_error()
 
@@ -174,17 +174,18 @@
 
 
 def test_the_next_address_is_tried(platform):
-    """One address of the platform is unreachable. Calls take the other one, changes
-    too, because nothing had been sent.
+    """One address of the platform is unreachable. Calls use the other one, even those
+    that change values, because nothing was sent to the first.
     """
     client = platform.make_client(find_free_address(platform.runtime))
     assert client.put("roster", "new", 0) == Ok(1)
     assert client.get("roster") == Ok(StoredValue("new", 1))
 
 
-def test_a_hanging_address_is_left_alone(platform):
-    """One address of the platform takes calls and never answers. A change is settled
-    through the other address, and later calls no longer wait for the first one.
+def test_a_hanging_address_is_avoided(platform):
+    """One address of the platform accepts calls and never answers. The outcome of a
+    change is determined through the other address, and later calls don't wait for the
+    first one.
     """
     hanging = platform.add_server()
     hanging.set_fault(DOWN)
@@ -197,7 +198,7 @@
 
 
 def ask_raw_server(runtime, parts):
-    """Return what a read gives when the platform sends these bytes, with pauses."""
+    """Return the result of a read if the platform sends `parts`, with pauses."""
     listener = runtime.listen(Address("127.0.0.1", 0))
 
     def serve():
@@ -230,8 +231,8 @@
     ],
 )
 def test_a_broken_answer_is_no_answer(answer):
-    """A balancer in front of the platform answers nonsense. The client reports an
-    outage; it doesn't fall over, and it takes nothing for a value.
+    """A load balancer in front of the platform sends malformed answers. The client
+    reports an outage; it doesn't crash or return a value.
     """
     runtime = Runtime(task_limit=4)
     result = ask_raw_server(runtime, [answer])
@@ -239,21 +240,21 @@
     runtime.close(1000)
 
 
-def test_an_answer_in_drops_ends_at_the_timeout():
-    """The platform sends a byte now and then, each before a timeout that counts from
-    the last byte. Without a bound on the whole answer the daemon would wait on.
+def test_an_answer_in_single_bytes_ends_at_the_timeout():
+    """The platform sends single bytes, each within a timeout that restarts with every
+    byte. Without a timeout for the whole answer the daemon would wait forever.
     """
     runtime = Runtime(task_limit=4)
-    drops = iter([b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", *[b" "] * 9999])
-    result = ask_raw_server(runtime, drops)
+    trickle = iter([b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", *[b" "] * 9999])
+    result = ask_raw_server(runtime, trickle)
     assert outcome(result)[0] is Code.PLATFORM_UNAVAILABLE
-    assert len(list(drops)) > 0
+    assert len(list(trickle)) > 0
     runtime.close(1000)
 
 
-def test_the_end_of_the_runtime_ends_a_watch():
-    """A daemon stops while its watch has half a minute to go. The end of the process
-    joins all tasks, so a watch that slept on would hold it up.
+def test_closing_the_runtime_ends_a_watch():
+    """A daemon stops while its watch may wait for another half minute. The process
+    joins all tasks when it ends, so the watch would delay its end.
     """
     with run_platform() as platform:
         client_runtime = Runtime(task_limit=2)
@@ -273,8 +274,8 @@
 
 
 def test_delete_compares_and_survives_a_lost_answer(platform):
-    """The answer to a delete is lost after the key is gone; the client reads back. A
-    key that somebody has changed stays.
+    """The answer to a delete is lost after the key was deleted, and the client reads
+    back. A key at another revision isn't deleted.
     """
     client = platform.make_client()
     client.put("groups/orders", 1, 0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon knows of the others: heartbeats, epochs, isolation."""
+"""Tests of the membership: liveness, roster epochs, isolation."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Trio:
-    """Three daemons on one clock; `hear` is one heartbeat with its reply."""
+    """Three daemons on one clock; `send_heartbeat` includes the reply."""
 
     def __init__(self):
         self.runtime = StillRuntime()
@@ -26,38 +26,38 @@
     def wait(self, duration_ms):
         self.runtime.clock.time_ms += duration_ms
 
-    def hear(self, name, other, delay_ms=0):
+    def send_heartbeat(self, name, other, delay_ms=0):
         sent_at_ms = self.runtime.clock.now_ms()
         views = self.members[other].make_views()
         self.wait(delay_ms)
         self.members[name].merge_reply(views, sent_at_ms)
 
-    def hear_all(self):
+    def exchange_heartbeats(self):
         for name in NAMES:
             for other in NAMES:
                 if name != other:
-                    self.hear(name, other)
+                    self.send_heartbeat(name, other)
 
 
 @pytest.fixture
 def trio():
     trio = Trio()
-    trio.hear_all()
+    trio.exchange_heartbeats()
     return trio
 
 
-def test_a_silent_daemon_is_taken_for_dead(trio):
+def test_a_silent_daemon_counts_as_dead(trio):
     assert trio.members["vm-1"].alive_names() == list(NAMES)
     trio.wait(SUSPECT_MS + 1)
-    trio.hear("vm-1", "vm-2")
+    trio.send_heartbeat("vm-1", "vm-2")
     assert trio.members["vm-1"].alive_names() == ["vm-1", "vm-2"]
 
 
-def test_a_daemon_that_was_paused_takes_nobody_for_silent_by_that(trio):
-    """Guards against a pause of one daemon that cuts its calls to all others."""
+def test_a_paused_daemon_counts_no_peer_as_dead_for_its_own_pause(trio):
+    """Guards against a daemon whose own pause makes its peers count as dead."""
     member = trio.members["vm-1"]
     trio.wait(SUSPECT_MS + 1)
-    trio.hear("vm-1", "vm-2")
+    trio.send_heartbeat("vm-1", "vm-2")
     began_ms = trio.runtime.clock.now_ms()
     trio.wait(3 * SUSPECT_MS)
     member.note_pause(began_ms, trio.runtime.clock.now_ms())
@@ -66,64 +66,65 @@
     assert member.alive_names() == ["vm-1"]
 
 
-def test_a_frozen_daemon_that_reads_an_old_reply_does_not_take_it_for_new(trio):
-    """A daemon is frozen between its heartbeat and the reply. Taken as of its arrival,
-    the reply would show a dead peer alive and an old contact with the platform fresh.
+def test_a_frozen_daemon_does_not_treat_an_old_reply_as_new(trio):
+    """A daemon is frozen between its heartbeat and the reply. If the views' ages
+    counted from the reply's arrival, a dead peer would look alive, and an old answer of
+    the platform recent.
     """
     trio.members["vm-2"].note_platform_answer(trio.runtime.clock.now_ms())
-    trio.hear("vm-1", "vm-2", delay_ms=60_000)
+    trio.send_heartbeat("vm-1", "vm-2", delay_ms=60_000)
     member = trio.members["vm-1"]
     assert member.alive_names() == ["vm-1"]
     assert member.platform_age_ms() > ISOLATION_MS
     assert member.is_isolated()
 
 
-def test_an_old_view_by_a_detour_changes_nothing(trio):
-    """vm-3 passes on what it last knew of vm-2, after vm-1 has heard newer."""
+def test_an_old_view_through_another_member_is_ignored(trio):
+    """vm-3 forwards its view of vm-2 after vm-1 has got a newer one from vm-2."""
     trio.members["vm-2"].note_applied_epoch(5)
     trio.wait(100)
-    trio.hear("vm-1", "vm-2")
-    trio.hear("vm-1", "vm-3")
+    trio.send_heartbeat("vm-1", "vm-2")
+    trio.send_heartbeat("vm-1", "vm-3")
     assert trio.members["vm-1"].view_of("vm-2").applied_epoch == 5
 
 
-def test_a_restarted_daemon_counts_from_its_new_start(trio):
-    """A restarted daemon begins with no epoch applied. If the view of the process
-    before it stayed, others would take its share for shrunk when it isn't.
+def test_the_view_of_a_restarted_daemon_replaces_the_previous_one(trio):
+    """A restarted daemon has applied no epoch yet. If the view of its previous process
+    stayed, others would assume that its share has shrunk.
     """
     trio.members["vm-2"].note_applied_epoch(1)
-    trio.hear("vm-1", "vm-2")
+    trio.send_heartbeat("vm-1", "vm-2")
     trio.wait(200)
     trio.members["vm-2"] = trio.make("vm-2")
-    trio.hear("vm-1", "vm-2")
+    trio.send_heartbeat("vm-1", "vm-2")
     assert trio.members["vm-1"].view_of("vm-2").applied_epoch == 0
 
 
-def test_an_epoch_is_applied_when_every_member_of_that_roster_says_so(trio):
+def test_an_epoch_is_applied_when_every_member_of_that_roster_reports_it(trio):
     member = trio.members["vm-1"]
     for name in NAMES[:2]:
         trio.members[name].note_applied_epoch(1)
-    trio.hear_all()
+    trio.exchange_heartbeats()
     assert not member.all_applied(member.roster)
     trio.members["vm-3"].note_applied_epoch(1)
-    trio.hear("vm-1", "vm-3")
+    trio.send_heartbeat("vm-1", "vm-3")
     assert member.all_applied(member.roster)
 
 
-def test_a_roster_that_came_meanwhile_confirms_nothing_of_the_one_before(trio):
-    """A task looks at a roster while another task brings the next, without vm-3. The
-    members of the next must not stand for those of the first.
+def test_a_newer_roster_does_not_confirm_the_previous_one(trio):
+    """One task checks a roster while another puts the next one in force, without vm-3.
+    The members of the new roster must not stand for those of the first.
     """
     member = trio.members["vm-1"]
     first = member.roster
     for name in NAMES[:2]:
         trio.members[name].note_applied_epoch(1)
-    trio.hear_all()
+    trio.exchange_heartbeats()
     member.accept_roster(make_roster(2, NAMES[:2]))
     assert not member.all_applied(first)
 
 
-def test_a_settled_roster_needs_no_word_of_a_daemon_that_died_since():
+def test_a_settled_roster_counts_as_applied_without_views_of_its_members():
     trio = Trio()
     member = trio.members["vm-1"]
     assert not member.all_applied(member.roster)
@@ -133,7 +134,7 @@
     assert member.roster["settled"]
 
 
-def test_an_older_roster_and_epoch_never_come_back(trio):
+def test_an_older_roster_or_epoch_is_ignored(trio):
     member = trio.members["vm-1"]
     member.accept_roster(make_roster(3, NAMES[:2]))
     member.note_applied_epoch(3)
@@ -146,26 +147,27 @@
 @pytest.mark.parametrize(
     ("heard", "isolated"), [((), True), (("vm-2",), False), (("vm-2", "vm-3"), False)]
 )
-def test_who_hears_of_a_minority_is_isolated(trio, heard, isolated):
-    """A daemon is cut from the platform. On the small side of the cut it would go on
-    honouring keys that were withdrawn; with most daemons the platform itself is out.
+def test_a_daemon_that_hears_from_a_minority_is_isolated(trio, heard, isolated):
+    """The platform doesn't answer a daemon. In the minority of a network partition it
+    would go on accepting withdrawn keys. If it hears from most daemons, the platform
+    itself is down.
     """
     trio.wait(ISOLATION_MS + 1)
     for other in heard:
-        trio.hear("vm-1", other)
+        trio.send_heartbeat("vm-1", other)
     assert trio.members["vm-1"].is_isolated() == isolated
 
 
-def test_one_daemon_with_the_platform_is_enough_for_those_that_hear_of_it(trio):
+def test_one_member_that_the_platform_answers_is_enough(trio):
     trio.wait(ISOLATION_MS + 1)
     trio.members["vm-3"].note_platform_answer(trio.runtime.clock.now_ms())
-    trio.hear("vm-2", "vm-3")
-    trio.hear("vm-1", "vm-2")
+    trio.send_heartbeat("vm-2", "vm-3")
+    trio.send_heartbeat("vm-1", "vm-2")
     assert not trio.members["vm-1"].is_isolated()
 
 
 def test_a_stopping_daemon_is_not_alive_for_others(trio):
     trio.members["vm-2"].note_stopping()
-    trio.hear("vm-1", "vm-2")
+    trio.send_heartbeat("vm-1", "vm-2")
     assert "vm-2" not in trio.members["vm-1"].alive_names()
     assert trio.members["vm-2"].alive_names() == ["vm-1", "vm-3"]
--- a/tests/test_membership_alive.py
+++ b/tests/test_membership_alive.py
@@ -1,4 +1,4 @@
-"""The live members are the same, kept or judged anew."""
+"""The cached list of live members equals a newly computed one."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the links between daemons: strangers, nonsense, and lost peers."""
+"""Tests of the links between daemons: handshake, malformed data, and lost peers."""
 
 import pytest
 from hypothesis import HealthCheck, example, given, settings
@@ -14,14 +14,14 @@
 TIMEOUT_MS = 2000
 ANY_PORT = Address("127.0.0.1", 0)
 CALL = LoanCall(borrower="vm-1", workspace="north", amount=2.0)
-# A frame that claims 2 GiB, one of negative length, and one that holds nonsense.
+# A frame that claims 2 GiB, one of negative length, and one with malformed data.
 HUGE_FRAME = b"\x7f\xff\xff\xff" + b"x" * 32
 NEGATIVE_FRAME = b"\xff\xff\xff\xff" + b"x" * 32
 NONSENSE_FRAME = b"\x00\x00\x00\x04abcd"
 
 
 class Handler:
-    """Lends what is asked for, and counts the calls."""
+    """Lends the requested amount, and counts the calls."""
 
     def __init__(self):
         self.calls = 0
@@ -32,7 +32,7 @@
 
 
 class Peer:
-    """A server of peers with its events."""
+    """A peer server with its counted events."""
 
     def __init__(self, runtime):
         self.runtime = runtime
@@ -54,11 +54,11 @@
         yield Peer(runtime)
 
 
-def test_an_answer_that_comes_twice_isnt_taken_for_the_next_one(peer, monkeypatch):
-    """A link delivers an answer twice, the second time after it was looked at.
+def test_a_duplicate_answer_isnt_taken_for_the_next_one(peer, monkeypatch):
+    """A link delivers an answer twice, the second time after the check for unread data.
 
-    The next call would get the answer of the one before: a caller is told that its
-    commit is done though it hasn't run yet.
+    If the next call took it for its own answer, a commit would be reported as done
+    before it has run.
     """
     cutter = Cutter(peer.runtime, peer.server.address)
     cutter.start()
@@ -75,7 +75,7 @@
     cutter.stop()
 
 
-def test_a_kept_link_serves_one_call_after_another(peer):
+def test_an_idle_link_is_reused(peer):
     links = PeerLinks(peer.runtime, SECRET)
     replies = [
         links.call(peer.server.address, "lend", CALL, TIMEOUT_MS) for _ in range(3)
@@ -83,10 +83,10 @@
     assert [reply.ok.amount for reply in replies] == [2.0] * 3
 
 
-def test_a_stranger_gets_no_token(peer):
-    """Somebody on the network dials a daemon's peer port without the secret.
+def test_a_client_without_the_secret_gets_no_token(peer):
+    """A client without the secret connects to a daemon's peer port.
 
-    With a loan he would spend a workspace's rate, and nobody would see where it went.
+    With a loan it could spend a workspace's rate unnoticed.
     """
     result = peer.call("another secret")
     assert not result.is_ok()
@@ -95,10 +95,10 @@
     wait_until(peer.runtime, lambda: peer.events == ["peer_rejected"])
 
 
-def test_a_server_without_the_secret_is_not_believed(peer):
-    """A process that took over a daemon's address answers in its place.
+def test_a_server_without_the_secret_is_rejected(peer):
+    """Another process listens at a daemon's address and answers in its place.
 
-    It could hand out a configuration of its own, with keys of its own.
+    It could distribute a forged configuration with keys of its own.
     """
     listener = peer.runtime.listen(ANY_PORT)
 
@@ -116,11 +116,11 @@
     assert not result.error.may_have_run
 
 
-def test_a_peer_that_is_gone_counts_as_not_asked(peer):
-    """A daemon ends while another keeps a link to it.
+def test_a_call_to_a_stopped_peer_has_not_run(peer):
+    """A daemon ends while another has an idle link to it.
 
     A call sent on the dead link would count as one that may have run, and its caller
-    would be told "unknown" for a request that nobody saw.
+    would get "unknown" for a request that never arrived.
     """
     links = PeerLinks(peer.runtime, SECRET)
     assert links.call(peer.server.address, "lend", CALL, TIMEOUT_MS).is_ok()
@@ -133,8 +133,8 @@
     assert not result.error.may_have_run
 
 
-def test_a_peer_that_is_slow_to_answer_isnt_away():
-    """Guards against taking a peer for dead that has no time for a handshake."""
+def test_a_slow_peer_isnt_unreachable():
+    """Guards against a peer that counts as dead because its handshake is slow."""
     with open_runtime() as runtime:
         listener = runtime.listen(ANY_PORT)
         links = PeerLinks(runtime, SECRET)
@@ -146,10 +146,10 @@
 
 
 def test_a_call_to_a_dropped_peer_ends_at_once(peer):
-    """A peer freezes in the middle of a call, and is suspected a moment later.
+    """A peer freezes during a call and is suspected soon after.
 
-    The call would wait for its whole deadline, though another daemon could find out
-    what became of the request.
+    The call would wait for its whole deadline, though another daemon could settle the
+    request.
     """
     listener = peer.runtime.listen(ANY_PORT)
     held = []
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""Tests of the policies: what each decides, and where the daemon asks it."""
+"""Tests of the policies: what each decides, and that the daemon follows it."""
 
 import click
 import pytest
@@ -19,7 +19,7 @@
 
 
 def make_server(runtime, group, policy):
-    """Return the group's server under a policy, with every instance in sight."""
+    """Return the group's server under a policy, once it reaches all instances."""
     groups = make_groups(runtime, make_group_spec(group), policy=policy)
     server = groups.find("orders")
     assert server.components.watch.wait_primary(DEADLINE_MS)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(("policy", "acknowledged"), [("fair", False), ("naive", True)])
-def test_only_the_naive_policy_takes_the_primarys_word(
+def test_only_the_naive_policy_acknowledges_without_a_majority(
     runtime, group, policy, acknowledged
 ):
     server = make_server(runtime, group, policy)
@@ -63,7 +63,7 @@
         asked.append(lender)
         return Loan(1.0, 0.0)
 
-    # One token at a time for each of eight daemons, and too slow to refill.
+    # One token for each of eight daemons, and a rate too slow to refill.
     spec = WorkspaceSpec("shop", 0.001, 8.0, frozenset(), {})
     shares = Shares(runtime, "vm-1", ask_peer, make_policy(policy))
     shares.set_members(MEMBERS, confirmed=True)
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ("policy", "order"), [("fair", ["a", "b", "a"]), ("naive", ["a", "a", "b"])]
 )
-def test_only_the_fair_policy_serves_workspaces_by_turns(runtime, policy, order):
+def test_only_the_fair_policy_serves_workspaces_in_turn(runtime, policy, order):
     queue = SlotQueue(runtime, 100, make_policy(policy).name_queue)
     queue.set_endpoints({"x": 1})
     end_ms = runtime.clock.now_ms() + DEADLINE_MS
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Tests of the roster in the platform: who joins, who leaves, who is gone."""
+"""Tests of the stored roster: joining, leaving, and removal of VMs that are gone."""
 
 import pytest
 
@@ -19,15 +19,15 @@
 NAMES = ("vm-1", "vm-2", "vm-3")
 
 
-class Relay:
-    """Takes the place of the gossip: it only hands rosters to the membership."""
+class RosterSink:
+    """A stand-in for the gossip that only passes rosters to the membership."""
 
     def __init__(self, membership):
         self.accept_roster = membership.accept_roster
 
 
-class Trial:
-    """A keeper on a platform stand-in; the membership's clock moves by hand."""
+class KeeperSetup:
+    """A keeper on a platform stand-in; the test moves the membership's clock."""
 
     def __init__(self, platform, name="vm-1"):
         self.platform = platform
@@ -41,7 +41,7 @@
             entry,
             self.client,
             self.membership,
-            Relay(self.membership),
+            RosterSink(self.membership),
             logs.open_log("roster"),
         )
 
@@ -66,7 +66,7 @@
         yield platform
 
 
-def test_each_change_is_a_new_epoch_and_no_change_is_none():
+def test_each_change_of_members_gets_a_new_epoch():
     roster = make_roster(4, NAMES[:2], settled=True)
     third = make_roster(1, NAMES)["members"][2]
     joined = add_member(roster, third)
@@ -77,9 +77,9 @@
 
 
 @pytest.mark.parametrize("settled", [True, False])
-def test_a_vm_with_another_address_is_the_same_holder(settled):
-    """A restarted daemon listens elsewhere. All parts stay as they were, so that the
-    new epoch is settled just when the one before was.
+def test_a_vm_with_another_address_keeps_its_shares(settled):
+    """A restarted daemon listens at another address. All shares stay the same, so the
+    new epoch is settled if the previous one was.
     """
     roster = make_roster(4, NAMES, settled)
     moved = {**roster["members"][0], "address": "127.0.0.1:2"}
@@ -96,9 +96,9 @@
     assert mark_settled(mark_settled(roster, 4), 4) is None
 
 
-def test_two_daemons_that_join_at_once_are_both_in(platform):
+def test_two_daemons_can_join_at_once(platform):
     """Two daemons read the same roster, and one of them writes first."""
-    first, second = Trial(platform, "vm-1"), Trial(platform, "vm-2")
+    first, second = KeeperSetup(platform, "vm-1"), KeeperSetup(platform, "vm-2")
 
     def add_second_meanwhile(roster):
         if "vm-2" not in names_of(roster):
@@ -111,70 +111,71 @@
 
 
 def test_a_daemon_joins_only_when_its_vm_is_listed(platform):
-    """The list lags. A VM that joined before it is listed would be taken for gone, and
-    its share given to others while it spends it.
+    """The list of VMs lags. A VM that joined before it is listed would count as gone,
+    and others would get its share while it still spends it.
     """
-    trial = Trial(platform)
-    assert not trial.keeper._is_listed()
-    trial.list_vms("vm-1")
-    trial.keeper.join()
-    assert names_of(trial.stored()) == ["vm-1"]
+    setup = KeeperSetup(platform)
+    assert not setup.keeper._is_listed()
+    setup.list_vms("vm-1")
+    setup.keeper.join()
+    assert names_of(setup.stored()) == ["vm-1"]
 
 
 def test_a_dead_vm_keeps_its_share_while_it_is_listed(platform):
-    """A daemon is silent but its VM is listed: it may be frozen and go on spending."""
-    trial = Trial(platform)
-    trial.list_vms(*NAMES)
-    trial.put(make_roster(1, NAMES))
+    """A daemon is silent but its VM is listed: it may be frozen and resume spending."""
+    setup = KeeperSetup(platform)
+    setup.list_vms(*NAMES)
+    setup.put(make_roster(1, NAMES))
     for _ in range(3):
-        trial.keeper._remove_gone()
-    assert names_of(trial.stored()) == list(NAMES)
+        setup.keeper._remove_gone()
+    assert names_of(setup.stored()) == list(NAMES)
 
 
-def test_a_vm_that_is_gone_is_taken_out_at_the_second_look(platform):
-    """A VM goes while tokens that it lent can be spent. They have lapsed from one look
-    to the next; at the first the others would grow into them.
+def test_a_vm_that_is_gone_is_removed_at_the_second_check(platform):
+    """A VM ends while tokens that it lent may still be spent. If it were removed at the
+    first check, other shares would grow before the tokens expire. By the second check
+    they have expired.
     """
-    trial = Trial(platform)
-    trial.put(make_roster(1, NAMES))
-    trial.list_vms("vm-1", "vm-3")
-    trial.keeper._remove_gone()
-    assert names_of(trial.stored()) == list(NAMES)
-    trial.keeper._remove_gone()
-    assert names_of(trial.stored()) == ["vm-1", "vm-3"]
-    assert trial.stored()["epoch"] == 2
-
-
-def test_a_daemon_that_gets_answers_cleans_the_roster(platform):
-    """Guards against leaving it to one that the platform turns away."""
+    setup = KeeperSetup(platform)
+    setup.put(make_roster(1, NAMES))
+    setup.list_vms("vm-1", "vm-3")
+    setup.keeper._remove_gone()
+    assert names_of(setup.stored()) == list(NAMES)
+    setup.keeper._remove_gone()
+    assert names_of(setup.stored()) == ["vm-1", "vm-3"]
+    assert setup.stored()["epoch"] == 2
+
+
+def test_the_cleaner_is_a_daemon_that_the_platform_answers(platform):
+    """Guards against a cleaner that the platform doesn't answer."""
     first, second, third = rank("roster", NAMES)
-    trial = Trial(platform, second)
-    trial.put(make_roster(1, NAMES))
-    now_ms = trial.clock.clock.now_ms()
+    setup = KeeperSetup(platform, second)
+    setup.put(make_roster(1, NAMES))
+    now_ms = setup.clock.clock.now_ms()
     views = [MemberView(name, 1, 1, 1, 0, 60_000, False) for name in (first, third)]
-    trial.membership.merge_reply(views, now_ms)
-    assert not trial.keeper._is_cleaner()
-    trial.membership.note_platform_answer(now_ms)
-    assert trial.keeper._is_cleaner()
+    setup.membership.merge_reply(views, now_ms)
+    assert not setup.keeper._is_cleaner()
+    setup.membership.note_platform_answer(now_ms)
+    assert setup.keeper._is_cleaner()
 
 
 def test_a_roster_is_settled_only_when_every_member_applied_it(platform):
-    trial = Trial(platform)
-    trial.put(make_roster(1, ["vm-1", "vm-2"]))
-    trial.membership.note_applied_epoch(1)
-    trial.keeper._mark_settled()
-    assert not trial.stored().get("settled")
-    other = Membership(trial.clock, MembershipSettings("vm-2"))
+    setup = KeeperSetup(platform)
+    setup.put(make_roster(1, ["vm-1", "vm-2"]))
+    setup.membership.note_applied_epoch(1)
+    setup.keeper._mark_settled()
+    assert not setup.stored().get("settled")
+    other = Membership(setup.clock, MembershipSettings("vm-2"))
     other.note_applied_epoch(1)
-    trial.membership.merge_reply(other.make_views(), trial.clock.clock.now_ms())
-    trial.keeper._mark_settled()
-    assert trial.stored()["settled"]
-
-
-def test_a_daemon_that_leaves_does_not_come_back_by_itself(platform):
-    trial = Trial(platform)
-    trial.list_vms("vm-1", "vm-2")
-    trial.put(make_roster(1, ["vm-1", "vm-2"]))
-    assert trial.keeper.leave()
-    trial.keeper.join()
-    assert names_of(trial.stored()) == ["vm-2"]
+    setup.membership.merge_reply(other.make_views(), setup.clock.clock.now_ms())
+    setup.keeper._mark_settled()
+    assert setup.stored()["settled"]
+
+
+def test_a_daemon_that_left_does_not_join_again(platform):
+    setup = KeeperSetup(platform)
+    setup.list_vms("vm-1", "vm-2")
+    setup.put(make_roster(1, ["vm-1", "vm-2"]))
+    assert setup.keeper.leave()
+    setup.keeper.join()
+    assert names_of(setup.stored()) == ["vm-2"]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -44,7 +44,7 @@
 
 
 def open_fleet(count=3, rate=30, burst=30, seed=1):
-    """Return a fleet whose buckets are full, with nothing left to confirm."""
+    """Return a fleet with full buckets, whose members have confirmed all shares."""
     fleet = Fleet(NAMES[:count], make_spec(rate, burst), seed)
     fleet.beat_all()
     fleet.pass_time(LOAN_LIFE_MS + 1000 * burst / rate)
@@ -63,7 +63,7 @@
     elif kind == "thaw":
         fleet.frozen.difference_update(fields)
     elif kind == "start":
-        # Only a listed VM starts anew; `add` starts the others.
+        # Only VMs in the roster are restarted; `add` starts the others.
         if fields[0] in fleet.names:
             fleet.start(*fields)
     else:
@@ -107,7 +107,7 @@
     for _ in range(100):
         fleet.pass_time(STEP_MS)
         spent += sum(fleet.spend(name, 4) for name in NAMES[:3])
-    # Some tokens lapse on loan when every daemon is asked for more than there is.
+    # When every daemon is overloaded, some tokens expire unspent while on loan.
     assert 0.9 * 150 <= spent <= 150
     assert fleet.find_excess() == 0
 
@@ -117,7 +117,7 @@
     assert fleet.spend("vm-2", 40) == 30
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_a_refusal_says_when_to_retry():
     fleet = open_fleet(rate=30, burst=2)
     fleet.spend("vm-1", 4)
     refusal = fleet.members["vm-1"].shares.spend(WORKSPACE).error
@@ -125,9 +125,9 @@
     assert refusal.retry_after_ms > 0
 
 
-def test_a_daemon_without_a_roster_does_not_call_it_the_rate():
-    """A daemon has just started, and callers reach it before the roster does. Told that
-    they are over their rate they would hold back for no reason.
+def test_a_daemon_without_a_roster_does_not_refuse_for_the_rate():
+    """A daemon that has just started gets requests before it has a roster. A refusal
+    with RATE_EXCEEDED would make callers slow down for no reason.
     """
     fleet = open_fleet()
     member = Member(fleet, "vm-9")
@@ -135,9 +135,10 @@
     assert member.shares.spend(WORKSPACE).error.code == Code.NO_CONFIGURATION
 
 
-def test_an_empty_workspace_asks_its_lenders_only_now_and_then():
-    """A workspace sends far more than its rate. If each refusal asked every daemon for
-    a loan, the flood would be multiplied inside the fleet and slow down the others.
+def test_an_exhausted_workspace_backs_off_from_borrowing():
+    """A workspace sends far more than its rate. If each refused request asked every
+    daemon for a loan, the load would multiply inside the fleet and slow down other
+    workspaces.
     """
     fleet = open_fleet(rate=30, burst=30)
     calls = []
@@ -148,9 +149,9 @@
     assert len(calls) <= 2
 
 
-def test_a_loan_keeps_its_place_in_the_lenders_burst_until_it_lapses():
-    """The lender refills while a loan of its is out. If both counted, they could be
-    spent at the same moment.
+def test_a_loan_counts_against_the_lenders_burst_until_it_expires():
+    """If the lender refilled the tokens of a loan that may still be spent, both could
+    be spent at the same time.
     """
     clock = Clock()
     bucket = Bucket(clock.now_ms())
@@ -163,8 +164,10 @@
     assert bucket.available(clock.now_ms()) == 10.0
 
 
-def test_a_loan_whose_answer_was_held_up_is_worth_nothing():
-    """An answer with a loan comes after the loan lapsed, while its lender refilled."""
+def test_a_loan_whose_answer_was_delayed_has_expired():
+    """The answer with a loan arrives after the loan has expired and its lender
+    refilled.
+    """
     fleet = open_fleet(count=2, rate=30, burst=30)
     fleet.spend("vm-1", 15)
     fleet.fates = lambda: Fate(after_ms=LOAN_LIFE_MS + 500)
@@ -174,9 +177,9 @@
     assert account.bucket.available(fleet.clock.now_ms()) <= 15
 
 
-def test_a_restarted_daemon_waits_until_its_predecessors_loans_have_lapsed():
-    """A daemon lends its tokens and is restarted. The new process knows of no loan; if
-    it filled up at once, they could be spent twice.
+def test_a_restarted_daemon_waits_until_its_earlier_loans_have_expired():
+    """A daemon lends its tokens and is restarted. The new process doesn't know the
+    loans; if it filled up at once, the tokens could be spent twice.
     """
     fleet = open_fleet(count=2, rate=60, burst=20)
     fleet.members["vm-1"].shares.lend(ask_for(10))
@@ -191,9 +194,9 @@
     assert fleet.members["vm-1"].shares.are_ready()
 
 
-def test_a_part_shrinks_at_once_and_grows_when_all_have_shrunk():
-    """A VM joins while another daemon hasn't heard of it. If the new one took its part
-    at once, the fleet would give out more than the whole.
+def test_a_share_shrinks_at_once_and_grows_when_all_have_shrunk():
+    """A VM joins before another daemon knows the new roster. If the new one took its
+    share at once, all shares together would exceed the rate.
     """
     fleet = open_fleet(count=2, rate=30, burst=30)
     fleet.add("vm-3")
@@ -202,19 +205,19 @@
         for pair in (("vm-1", "vm-3"), ("vm-3", "vm-1")):
             fleet.beat(*pair)
         fleet.pass_time(1000)
-    holdings = [part_of(fleet, name) for name in NAMES[:3]]
-    assert holdings == [10.0, 15.0, 0.0]
+    rates = [share_rate_of(fleet, name) for name in NAMES[:3]]
+    assert rates == [10.0, 15.0, 0.0]
     fleet.beat_all()
-    assert [part_of(fleet, name) for name in NAMES[:3]] == [10.0, 10.0, 10.0]
+    assert [share_rate_of(fleet, name) for name in NAMES[:3]] == [10.0, 10.0, 10.0]
 
 
-def part_of(fleet, name):
+def share_rate_of(fleet, name):
     return fleet.members[name].shares._accounts[WORKSPACE].bucket.share.rate
 
 
-def test_nobody_grows_while_loans_of_a_larger_part_are_out():
-    """A daemon lends all of its burst, and then a VM joins. Were the newcomer to fill
-    up before those loans lapse, borrower and newcomer could spend the same tokens.
+def test_no_share_grows_while_loans_from_a_larger_share_may_be_spent():
+    """A daemon lends all of its burst, and then a VM joins. If the new one filled up
+    before those loans expire, it and the borrower could spend the same tokens.
     """
     fleet = open_fleet(count=2, rate=60, burst=20)
     borrower = fleet.members["vm-2"].shares._accounts[WORKSPACE]
@@ -222,31 +225,31 @@
     fleet.members["vm-1"].shares.lend(ask_for(9))
     fleet.add("vm-3")
     fleet.beat_all()
-    assert part_of(fleet, "vm-3") == 0
+    assert share_rate_of(fleet, "vm-3") == 0
     fleet.pass_time(LOAN_LIFE_MS)
     fleet.beat_all()
-    assert part_of(fleet, "vm-3") == 20
+    assert share_rate_of(fleet, "vm-3") == 20
 
 
-def test_two_versions_that_split_a_small_burst_differently_share_one_whole():
-    """A burst of 4 is held by two daemons, one of 6 by three. While some daemons have
-    the new version and some the old, the parts must not add up to more than one.
+def test_shares_of_two_configuration_versions_never_exceed_the_whole():
+    """A burst of 4 has two holders, one of 6 has three. While daemons use different
+    configuration versions, their shares must not add up to more than the whole.
     """
     fleet = open_fleet(count=5, rate=30, burst=4)
     fleet.set_spec(make_spec(30, 6))
-    old = list_holders(make_spec(30, 4), list(NAMES))
+    old_holders = list_holders(make_spec(30, 4), list(NAMES))
     holders = list_holders(make_spec(30, 6), list(NAMES))
-    assert (len(old), len(holders)) == (2, 3)
+    assert (len(old_holders), len(holders)) == (2, 3)
     for name in reversed(holders):
         fleet.learn(name)
-        assert sum(part_of(fleet, one) for one in NAMES) <= 30
+        assert sum(share_rate_of(fleet, member) for member in NAMES) <= 30
     fleet.beat_all()
-    assert [part_of(fleet, one) for one in holders] == [10.0] * 3
+    assert [share_rate_of(fleet, holder) for holder in holders] == [10.0] * 3
 
 
-def test_a_workspace_that_comes_back_remembers_its_loans():
-    """An operator removes a workspace and adds it again at once. A bucket that forgot
-    its loans would refill beside them.
+def test_a_workspace_that_is_added_again_keeps_its_loans():
+    """An operator removes a workspace and adds it again at once. A new bucket without
+    the loans would refill while they can still be spent.
     """
     fleet = open_fleet(count=2, rate=60, burst=20)
     shares = fleet.members["vm-1"].shares
@@ -258,7 +261,7 @@
     assert bucket.available(fleet.clock.now_ms()) <= 2
 
 
-def test_a_daemon_that_stops_lends_no_more_and_says_how_long_its_loans_last():
+def test_a_stopping_daemon_lends_nothing_and_returns_when_its_loans_expire():
     fleet = open_fleet(count=2, rate=30, burst=30)
     shares = fleet.members["vm-1"].shares
     shares.lend(ask_for(3))
@@ -266,10 +269,10 @@
     assert shares.lend(ask_for(3)).amount == 0
 
 
-def test_a_lender_refills_the_place_of_a_loan_that_was_spent():
-    """All callers are on one daemon, which lives on loans. If spent loans kept their
-    places for their whole life, the lenders could not refill, and callers inside their
-    rate would be refused.
+def test_a_lender_refills_the_tokens_of_a_loan_that_was_spent():
+    """All callers use one daemon, which borrows its tokens. If spent loans counted
+    against the lenders' burst until they expire, the lenders couldn't refill, and
+    callers within their rate would be refused.
     """
     clock = Clock()
     bucket = Bucket(clock.now_ms())
@@ -285,9 +288,9 @@
     assert bucket.available(clock.now_ms()) == 4.0
 
 
-def test_a_loan_request_that_was_overtaken_releases_nothing():
-    """A request is held up on its way, the borrower gives it up and borrows by the next
-    one. The late one says that nothing is held, which is no longer true.
+def test_a_loan_request_that_was_overtaken_ends_no_loan():
+    """A loan request is delayed, and the borrower gives it up and sends another. The
+    late one reports that the borrower holds no tokens, which is no longer true.
     """
     clock = Clock()
     bucket = Bucket(clock.now_ms())
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""Tests of the checks of a statement's body."""
+"""Tests of the decoding and checks of a request's body."""
 
 import json
 
@@ -51,7 +51,7 @@
         ({"action": "begin", "statement": GET}, "takes no field `statement`"),
     ],
 )
-def test_a_mistake_is_told(fields, message):
+def test_a_mistake_is_reported(fields, message):
     refusal = decode(**fields).error
     assert refusal.code == Code.INVALID_STATEMENT
     assert message in refusal.message
@@ -65,9 +65,8 @@
 
 
 def test_a_deeply_nested_body_does_not_end_the_process():
-    """A hostile caller sends thousands of brackets. The decoder calls itself for
-    each, the small stack of the task overflows, and every caller of the daemon is
-    cut.
+    """A hostile caller sends thousands of nested brackets. The recursive decoder would
+    overflow the small stack of the task, and the whole daemon would crash.
     """
     runtime = Runtime(task_limit=1)
     body = b"[" * 100_000 + b"]" * 100_000
@@ -76,7 +75,7 @@
     assert runtime.close(1000)
 
 
-def test_brackets_that_do_not_nest_are_no_matter():
+def test_brackets_that_do_not_nest_are_accepted():
     value = ["[{" * 200, '\\"[[' * 50, *[[{}]] * 200]
     statement = {**PUT, "value": value}
     assert decode(statement=statement).ok["statement"]["value"] == value
