--- a/bronzerelay/borrowing.py
+++ b/bronzerelay/borrowing.py
@@ -48,8 +48,9 @@
         self.spare: dict[str, Spare] = {}
         self.waiting = 0
         self.borrowing = False
-        self.rounds = 0
-        self.requests = 0
+        # Counts received loans and finished rounds, to wake the waiting requests.
+        self.progress = 0
+        self.last_request_number = 0
         self.backoff_until_ms = 0.0
 
 
@@ -94,10 +95,10 @@
             if not account.borrowing:
                 account.borrowing = True
                 return True
-            rounds = account.rounds
+            progress = account.progress
             self._runtime.wait_for(
                 account.condition,
-                lambda: account.rounds != rounds,
+                lambda: account.progress != progress,
                 end_ms - self._runtime.clock.now_ms(),
             )
         return False
@@ -113,7 +114,7 @@
         finally:
             with account.condition:
                 account.borrowing = False
-                account.rounds += 1
+                account.progress += 1
                 now_ms = self._runtime.clock.now_ms()
                 # Fractions of a token don't count. Lenders that refill have some at
                 # any time, so the next round would start at once.
@@ -189,10 +190,14 @@
     def _borrow_from(self, account: Account, lender: str, amount: float) -> None:
         sent_at_ms = self._runtime.clock.now_ms()
         with account.condition:
-            account.requests += 1
+            account.last_request_number += 1
             held = account.bucket.held_from(lender, sent_at_ms)
             request = LoanRequest(
-                account.spec.name, amount, self._process, account.requests, held
+                account.spec.name,
+                amount,
+                self._process,
+                account.last_request_number,
+                held,
             )
         loan = self._ask_peer(lender, request)
         with account.condition:
@@ -205,5 +210,5 @@
             until_ms = sent_at_ms + LOAN_LIFE_MS
             if loan.amount > 0:
                 account.bucket.receive(loan.amount, until_ms, lender)
-                account.rounds += 1
+                account.progress += 1
                 account.condition.notify_all()
--- a/bronzerelay/policies.py
+++ b/bronzerelay/policies.py
@@ -1,4 +1,4 @@
-"""The policies: the decisions that can be exchanged, as plain functions.
+"""The policies: the decisions that can be configured, as plain functions.
 
 "fair" keeps every promise of the system and is the default. "naive" is the baseline of
 the benchmarks, a minimal proxy. It must never be used in production: it acknowledges
--- a/bronzerelay/sharekeeper.py
+++ b/bronzerelay/sharekeeper.py
@@ -8,7 +8,7 @@
 from bronzerelay.types import Configuration
 
 
-class RosterStep(NamedTuple):
+class AppliedRoster(NamedTuple):
     """A roster epoch, and whether all members are known to have applied it."""
 
     epoch: int
@@ -24,7 +24,7 @@
         self._lock = runtime.make_lock()
         self._membership = membership
         self._shares = shares
-        self._applied = RosterStep(0, False)
+        self._applied = AppliedRoster(0, False)
         self._config_version = 0
         self._confirmed_config_version = 0
 
@@ -48,13 +48,13 @@
 
     def _apply_roster(self) -> None:
         roster = self._membership.roster
-        step = RosterStep(roster["epoch"], self._membership.all_applied(roster))
-        if step != self._applied:
-            self._shares.set_members(names_of(roster), step.confirmed)
-            self._applied = step
+        current = AppliedRoster(roster["epoch"], self._membership.all_applied(roster))
+        if current != self._applied:
+            self._shares.set_members(names_of(roster), current.confirmed)
+            self._applied = current
         # While loans from a larger share may still be spent, others must not grow.
-        if self._membership.applied_epoch < step.epoch and self._shares.loans_fit():
-            self._membership.note_applied_epoch(step.epoch)
+        if self._membership.applied_epoch < current.epoch and self._shares.loans_fit():
+            self._membership.note_applied_epoch(current.epoch)
 
     def _confirm_workspaces(self) -> None:
         version = self._config_version
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -57,7 +57,8 @@
         self.name = name
         # Only this daemon's connections to the instances go through these.
         self.relays = {
-            one: Cutter(runtime, group.servers[one].address) for one in NAMES
+            instance: Cutter(runtime, group.servers[instance].address)
+            for instance in NAMES
         }
         for relay in self.relays.values():
             relay.start()
@@ -103,11 +104,15 @@
     def join(self, nodes: list["Node"]) -> None:
         """Make all `nodes` members that stay alive without heartbeats."""
         members = [
-            {"name": one.name, "address": str(one.cutter.address), "failure_domain": ""}
-            for one in nodes
+            {
+                "name": node.name,
+                "address": str(node.cutter.address),
+                "failure_domain": "",
+            }
+            for node in nodes
         ]
         self.membership.accept_roster({"epoch": 1, "members": members})
-        views = [MemberView(one.name, 1, 1, 1, 0, 0, False) for one in nodes]
+        views = [MemberView(node.name, 1, 1, 1, 0, 0, False) for node in nodes]
         self.membership.merge_reply(views, self.runtime.clock.now_ms())
         self.membership.note_platform_answer(self.runtime.clock.now_ms())
 
@@ -171,7 +176,9 @@
         """Return the name of the primary of the highest term."""
         instances = {name: self.group.instance(name) for name in NAMES}
         primaries = [
-            (one.term, name) for name, one in instances.items() if one.role == "primary"
+            (state.term, name)
+            for name, state in instances.items()
+            if state.role == "primary"
         ]
         return max(primaries)[1]
 
--- a/tests/test_promise_transactions.py
+++ b/tests/test_promise_transactions.py
@@ -61,20 +61,20 @@
     """
     with open_deployment(3) as deployment:
         deployment.warm_up()
-        one, two, three = deployment.nodes
-        token = begin(one)
-        assert run(two, token, add("stock", -1)).ok["value"] == -1
-        assert run(three, token, get("stock")).ok["value"] == -1
-        assert run(one, token, add("returns", 1)).is_ok()
+        first, second, third = deployment.nodes
+        token = begin(first)
+        assert run(second, token, add("stock", -1)).ok["value"] == -1
+        assert run(third, token, get("stock")).ok["value"] == -1
+        assert run(first, token, add("returns", 1)).is_ok()
         assert deployment.read_row("stock") is None
-        session = commit(two, token).ok["session"]
+        session = commit(second, token).ok["session"]
         for row, value in (("stock", -1), ("returns", 1)):
-            answer = three.send(statement=get(row), session=session)
+            answer = third.send(statement=get(row), session=session)
             assert answer.ok["value"] == value
         check_pools(deployment)
 
 
-def test_transactions_stay_apart():
+def test_concurrent_transactions_are_isolated():
     """Several transactions run at the same time, with interleaved statements.
 
     If they were mixed up, a change could be committed with another transaction.
@@ -246,11 +246,11 @@
     """
     with open_deployment(2) as deployment:
         deployment.warm_up()
-        one, two = deployment.nodes
-        token = begin(one)
-        assert run(one, token, add("row", 1)).is_ok()
-        assert commit(one, token, key=key).is_ok()
-        assert outcome_of(commit(two, token, key=key)) == RAN
+        first, second = deployment.nodes
+        token = begin(first)
+        assert run(first, token, add("row", 1)).is_ok()
+        assert commit(first, token, key=key).is_ok()
+        assert outcome_of(commit(second, token, key=key)) == RAN
         check_outcome(deployment, RAN, "row")
 
 
@@ -258,12 +258,12 @@
     """A commit with an invalid token or after a rollback commits nothing."""
     with open_deployment(2) as deployment:
         deployment.warm_up()
-        one, two = deployment.nodes
-        token = begin(one)
-        assert run(one, token, add("row", 1)).is_ok()
-        assert two.send("rollback", transaction=token).is_ok()
-        for name in (token, f"{one.name}~00", "vm-9~00", "nonsense"):
-            assert outcome_of(commit(two, name)) == NOT_RUN
+        first, second = deployment.nodes
+        token = begin(first)
+        assert run(first, token, add("row", 1)).is_ok()
+        assert second.send("rollback", transaction=token).is_ok()
+        for name in (token, f"{first.name}~00", "vm-9~00", "nonsense"):
+            assert outcome_of(commit(second, name)) == NOT_RUN
         check_outcome(deployment, NOT_RUN, "row")
 
 
