--- a/lab/figures.py
+++ b/lab/figures.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from bronzerelay.codes import RAN
-from standins.rates import RateLimit, find_inside, find_wrongful_refusals
+from standins.rates import RateLimit, find_within_rate, find_wrongful_refusals
 from standins.record import Entry
 from standins.summary import summarise
 
@@ -84,7 +84,7 @@
     Which requests of a workspace above its rate are admitted is up to the system; only
     their number counts.
     """
-    inside = find_inside(record, limits)
+    inside = find_within_rate(record, limits)
     services = []
     for workspace in sorted({entry.workspace for entry in record}):
         own = [entry for entry in record if entry.workspace == workspace]
@@ -119,7 +119,7 @@
     """
     limits = list(limits)
     entries = [entry for entry in record if entry.workspace != left_out]
-    inside = len(find_inside(entries, limits))
+    inside = len(find_within_rate(entries, limits))
     wrongful = len(find_wrongful_refusals(entries, limits))
     return PER * wrongful / inside if inside else 0.0
 
--- a/lab/rates.py
+++ b/lab/rates.py
@@ -183,7 +183,7 @@
             inside += 1
             wrongful += not got_in
         due_ms += draw.expovariate(1 / gap_ms)
-    fleet.note_limit()
+    fleet.record_limit()
     excess = fleet.find_excess()
     return Figures(requests, inside, wrongful, spent, len(setting.calls), excess)
 
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -15,9 +15,9 @@
 from lab.faults import Scene, Undo
 from standins.checks import run_checks
 from standins.cluster import DEMO, Cluster, ClusterError, Layout
-from standins.controls import AdminError
 from standins.layout import WorkspaceLayout
 from standins.load import Load, LoadSettings, end_on_sigterm
+from standins.platformadmin import AdminError
 from standins.rates import RateLimit
 from standins.record import Entry
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -16,8 +16,7 @@
 from bronzerelay.keys import hash_key, make_key
 from bronzerelay.runtime import Address, Runtime
 from bronzerelay.types import Bundle, ConfigRecord
-from standins.admin import AdminClient, open_admin
-from standins.controls import PlatformAdmin
+from standins.endpointadmin import AdminClient, open_admin
 from standins.evidence import Evidence, read_executions, read_log
 from standins.layout import (
     DEMO,
@@ -32,6 +31,7 @@
     name_endpoints,
     pick_domain,
 )
+from standins.platformadmin import PlatformAdmin
 from standins.processes import (
     POLL_MS,
     ClusterError,
--- a/standins/cutter.py
+++ b/standins/faultrelay.py
@@ -25,7 +25,7 @@
     marker: bytes
 
 
-class Cutter:
+class FaultRelay:
     """Passes connections on to `target`; each armed fault strikes once.
 
     A fault strikes the next bytes that pass in its direction, on any connection, or
--- a/standins/kvstore.py
+++ b/standins/kvstore.py
@@ -26,9 +26,9 @@
     """Keys with revisions and a history, on a port of its own.
 
     Switches: `status` answers every call with it, `silent` answers none until it is
-    back, `swallow` never answers what arrives while it is set, on connections that stay
-    open, `lose` drops the answers of that many changes after they were made, `delay_ms`
-    holds answers up.
+    back, `drop_calls` never answers what arrives while it is set, on connections that
+    stay open, `lose_answers` drops the answers of that many changes after they were
+    made, `delay_ms` holds answers up.
     """
 
     def __init__(self, runtime: Runtime):
@@ -40,8 +40,8 @@
         self.forgotten = 0
         self.status = 0
         self.silent = False
-        self.swallow = False
-        self.lose = 0
+        self.drop_calls = False
+        self.lose_answers = 0
         self.delay_ms = 0.0
         self.calls: list[str] = []
         self.groups: dict[str, LineGroup] = {}
@@ -166,8 +166,8 @@
                 for row in body["puts"]
             }
             revision = self._apply(puts, body["remove"])
-            if self.lose:
-                self.lose -= 1
+            if self.lose_answers:
+                self.lose_answers -= 1
                 return 0, None
             return 200, {"revision": revision}
 
@@ -192,7 +192,7 @@
 
             def _serve(self, method: str) -> None:
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-                swallowed = store.swallow
+                swallowed = store.drop_calls
                 while store.silent or swallowed:
                     if not store.runtime.sleep_ms(10):
                         return
--- a/standins/linecaller.py
+++ b/standins/linecaller.py
@@ -54,7 +54,7 @@
         self.send(f"QUERY q{id(self):x}n{self._count} {text}")
         return self.read_reply()
 
-    def query_patiently(self, text: str) -> LineReply:
+    def query_with_retries(self, text: str) -> LineReply:
         """Run one statement, and again when the daemon says when to come back.
 
         Such a refusal says that nothing has run, so that a write may be repeated. It
--- a/standins/linedemo.py
+++ b/standins/linedemo.py
@@ -23,7 +23,7 @@
 PORTS = range(15_000, 32_000)
 
 
-def find_address(runtime: Runtime) -> Address:
+def find_free_address(runtime: Runtime) -> Address:
     """Return a free address for a daemon."""
     while True:
         address = Address(LOCAL, runtime.random.choice(PORTS))
@@ -47,7 +47,7 @@
             self._start(name, folder)
 
     def _start(self, name: str, folder: Path) -> None:
-        ports = [find_address(self.runtime) for _ in range(3)]
+        ports = [find_free_address(self.runtime) for _ in range(3)]
         self.addresses[name] = ports[0]
         settings = folder / f"{name}.toml"
         self.platform.write_settings(settings, name, ports)
@@ -91,7 +91,7 @@
 
 def run_ok(caller: LineCaller, text: str) -> LineReply:
     """Run a statement that must succeed, coming back when told to."""
-    reply = caller.query_patiently(text)
+    reply = caller.query_with_retries(text)
     require(not reply.error, f"{text!r} was refused: {reply.error} {reply.text}")
     return reply
 
--- a/standins/linegroup.py
+++ b/standins/linegroup.py
@@ -42,15 +42,15 @@
 class LineInstance:
     """One instance of a group, with a port of its own."""
 
-    def __init__(self, group: "LineGroup", name: str, leads: bool):
+    def __init__(self, group: "LineGroup", name: str, is_primary: bool):
         self.group = group
         self.name = name
-        self.leads = leads
+        self.is_primary = is_primary
         self.term = 1
         self.log: list[Commit] = []
         self.leaving = False
         # Switches.
-        self.deaf = False
+        self.replication_paused = False
         self.silent = False
         self.lose_answers = 0
         self.busy_answers = 0
@@ -68,7 +68,7 @@
 
     def applied(self) -> list[Commit]:
         """Return the part of the log that reads see."""
-        if self.leads:
+        if self.is_primary:
             return self.log
         newest_ms = self.group.runtime.clock.now_ms() - self.group.lag_ms
         return [commit for commit in self.log if commit.at_ms <= newest_ms]
@@ -89,7 +89,7 @@
             except (TaskLimitError, RuntimeError):
                 connection.close()
 
-    def cut_links(self) -> None:
+    def close_connections(self) -> None:
         """Reset all open connections."""
         for connection in list(self.connections):
             connection.close()
@@ -215,14 +215,14 @@
 
     def _begin(self, rest: str) -> list[str]:
         self._plain = rest != "FETCH"
-        if self._plain and not self._instance.leads:
+        if self._plain and not self._instance.is_primary:
             raise _RefusedError("READONLY this is a replica")
         self._state, self._term, self._changes = "T", self._instance.term, []
         return ["COMPLETE -"]
 
     def _check_lead(self) -> None:
         instance = self._instance
-        lost = not instance.leads or instance.term != self._term
+        lost = not instance.is_primary or instance.term != self._term
         if self._state == "T" and self._plain and lost:
             raise _RefusedError("READONLY the lead is lost")
 
@@ -256,7 +256,7 @@
 
     def _status(self, _: str) -> list[str]:
         instance = self._instance
-        role = "primary" if instance.leads else "replica"
+        role = "primary" if instance.is_primary else "replica"
         end = instance.describe(instance.log)
         held = instance.held_term
         row = f"{role} {instance.term} {end} {held} 0 0 {instance.links}"
@@ -284,7 +284,7 @@
             return [f"DATAROW {found.get(item, '-')}", f"COMPLETE {self._sign()}"]
         if word != "STORE":
             raise _RefusedError(f"PROTOERR {word} is unknown")
-        if not self._instance.leads:
+        if not self._instance.is_primary:
             raise _RefusedError("READONLY this is a replica")
         self._note(statement_id, text, shape)
         if self._state == "T":
@@ -313,9 +313,9 @@
         for number in range(3):
             self.add(f"{service}-{number}", number == 0)
 
-    def add(self, name: str, leads: bool) -> LineInstance:
+    def add(self, name: str, is_primary: bool) -> LineInstance:
         """Add an instance and let it listen."""
-        instance = LineInstance(self, name, leads)
+        instance = LineInstance(self, name, is_primary)
         self.instances[name] = instance
         self.runtime.start(instance.accept)
         return instance
@@ -328,8 +328,8 @@
         commit = Commit(primary.term, number, changes, self.runtime.clock.now_ms())
         primary.log.append(commit)
         for other in self.instances.values():
-            follows = not other.leads and other.term == primary.term
-            if other is not primary and follows and not other.deaf:
+            follows = not other.is_primary and other.term == primary.term
+            if other is not primary and follows and not other.replication_paused:
                 other.log.append(commit)
 
     def promote(self, name: str, holder: str, epoch: int) -> bool:
@@ -339,20 +339,20 @@
         if chosen is None or chosen.silent:
             return False
         with self.condition:
-            if chosen.leads:
+            if chosen.is_primary:
                 return True
             term = max(one.term for one in self.instances.values()) + 1
             for other in self.instances.values():
                 if other is chosen or other.silent:
                     continue
-                other.leads = False
+                other.is_primary = False
                 other.term = term
                 other.log = list(chosen.log)
-            chosen.leads, chosen.term = True, term
+            chosen.is_primary, chosen.term = True, term
         return True
 
     def close(self) -> None:
         """Close all ports."""
         for instance in self.instances.values():
             instance.listener.close()
-            instance.cut_links()
+            instance.close_connections()
--- a/standins/lineplatform.py
+++ b/standins/lineplatform.py
@@ -97,7 +97,7 @@
             "capacity": self.group.slots,
             "state": "draining" if instance.leaving else "ready",
             "warmup_left_ms": 0,
-            "current_role": "primary" if instance.leads else "replica",
+            "current_role": "primary" if instance.is_primary else "replica",
             "seq": 1,
             "born": 1,
         }
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -214,7 +214,7 @@
             for caller in callers or (ALL_CALLERS,):
                 self._faults[caller] = Fault(mode, delay_ms, count)
 
-    def show_calls(self) -> dict[str, Any]:
+    def count_calls(self) -> dict[str, Any]:
         """Return how many reads, writes and watches have arrived, and from whom."""
         with self._lock:
             kinds = {kind: self._calls[kind] for kind in ("reads", "writes", "watches")}
@@ -410,7 +410,7 @@
         return Answer(200, {})
 
     def _answer_calls(self, request: Request, _: str) -> Answer:
-        return Answer(200, self.show_calls())
+        return Answer(200, self.count_calls())
 
 
 def show_entry(entry: Entry) -> dict[str, Any]:
--- a/standins/rates.py
+++ b/standins/rates.py
@@ -178,11 +178,13 @@
 
     It is a measure, not a promise.
     """
-    inside = find_inside(record, limits)
+    inside = find_within_rate(record, limits)
     return [entry for entry in inside if entry.status in REFUSED_STATUSES]
 
 
-def find_inside(record: Iterable[Entry], limits: Iterable[RateLimit]) -> list[Entry]:
+def find_within_rate(
+    record: Iterable[Entry], limits: Iterable[RateLimit]
+) -> list[Entry]:
     """Return the requests inside their workspace's rate: those one bucket would admit.
 
     The bucket sees the requests in the order in which they were sent, as a single
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from standins.cluster import Cluster, Layout, WorkspaceLayout
-from standins.cutter import CUT_HALF_REPLY, CUT_REPLY, CUT_REQUEST, Cutter
+from standins.faultrelay import CUT_HALF_REPLY, CUT_REPLY, CUT_REQUEST, FaultRelay
 from standins.load import Load
 from standins.record import Entry
 from standins.schedule import LoadSettings
@@ -33,7 +33,7 @@
     addresses = {name: cluster.addresses[name] for name in cluster.daemon_names}
     serving = find_serving(cluster)
     relayed = next(name for name in addresses if name != serving)
-    relay = Cutter(cluster.runtime, addresses[relayed])
+    relay = FaultRelay(cluster.runtime, addresses[relayed])
     relay.start()
     addresses[relayed] = relay.address
     load = Load(cluster.runtime, settings, addresses, cluster.keys)
@@ -50,7 +50,7 @@
     return next(name for name in running if cluster.fetch_status(name)["groups"])
 
 
-def break_in_turn(cluster: Cluster, relay: Cutter, serving: str) -> None:
+def break_in_turn(cluster: Cluster, relay: FaultRelay, serving: str) -> None:
     """Kill, freeze and cut, one after the other, while the load runs."""
     cut_for_a_while(cluster, relay)
     cluster.kill(serving)
@@ -65,7 +65,7 @@
     cluster.thaw(frozen)
 
 
-def cut_for_a_while(cluster: Cluster, relay: Cutter) -> None:
+def cut_for_a_while(cluster: Cluster, relay: FaultRelay) -> None:
     """Cut a caller's request or answer every now and then for about a second."""
     for _ in range(6):
         for fault in (CUT_REPLY, CUT_REQUEST, CUT_HALF_REPLY):
--- a/tests/builders_pooler.py
+++ b/tests/builders_pooler.py
@@ -22,7 +22,7 @@
 from bronzerelay.pooler.mirror import PeerMirror
 from bronzerelay.runtime import Address, Clock, Runtime
 from standins.kvstore import KvStore
-from standins.linedemo import find_address
+from standins.linedemo import find_free_address
 from standins.linegroup import LOCAL
 from standins.lineplatform import SERVICE, LinePlatform
 
@@ -117,9 +117,9 @@
         free = Runtime(task_limit=1)
         settings = PoolerSettings(
             name,
-            find_address(free),
-            find_address(free),
-            find_address(free),
+            find_free_address(free),
+            find_free_address(free),
+            find_free_address(free),
             None,
             (),
             None,
--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -6,8 +6,8 @@
 from bronzerelay import dialect
 from bronzerelay.runtime import Address, Connection, Runtime
 from bronzerelay.types import EndpointSpec
-from standins.admin import AdminClient, open_admin
 from standins.endpoint import EndpointServer
+from standins.endpointadmin import AdminClient, open_admin
 from standins.messages import EndpointSettings
 
 TIMEOUT_MS = 5000
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -40,7 +40,7 @@
         return None
 
 
-class StillRuntime:
+class SimulatedRuntime:
     """The seam with a clock that stands still; waiting lets the time pass."""
 
     def __init__(self, clock=None, seed=1):
@@ -120,7 +120,7 @@
     """
 
     def __init__(self, names, spec, seed=1):
-        self.runtime = StillRuntime(seed=seed)
+        self.runtime = SimulatedRuntime(seed=seed)
         self.clock = self.runtime.clock
         self.draw = Random(seed)
         self.fates = lambda: Fate()
@@ -176,7 +176,7 @@
         if name in self.members and name not in self.frozen:
             self.members[name].take_roster(self.roster)
             self.members[name].take_config(self.version, self.specs[self.version])
-            self.note_limit()
+            self.record_limit()
 
     def beat(self, sender, receiver):
         """Let `sender` ask `receiver` what it knows, and act on it."""
@@ -239,11 +239,11 @@
         """Put another rate and burst in force; each daemon learns it by itself."""
         self.version += 1
         self.specs[self.version] = spec
-        self.note_limit()
+        self.record_limit()
 
     # The check
 
-    def note_limit(self):
+    def record_limit(self):
         """Note what is in force where; lent tokens keep it for their life."""
         specs = [self.specs[one.version] for one in self.members.values()]
         specs.append(self.specs[self.version])
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -21,7 +21,7 @@
 from bronzerelay.transactions import Transactions
 from bronzerelay.types import ConfigRecord
 from bronzerelay.work import Work
-from standins.cutter import Cutter
+from standins.faultrelay import FaultRelay
 from standins.instance import Execution
 from tests.builders_config import make_endpoint, make_workspace
 from tests.endpoints import NAMES, Group, open_runtime, wait_until
@@ -57,7 +57,7 @@
         self.name = name
         # Through these it reaches the instances, and no other daemon does.
         self.relays = {
-            one: Cutter(runtime, group.servers[one].address) for one in NAMES
+            one: FaultRelay(runtime, group.servers[one].address) for one in NAMES
         }
         for relay in self.relays.values():
             relay.start()
@@ -96,7 +96,7 @@
             self.metrics.count_event,
         )
         self.server.start()
-        self.cutter = Cutter(runtime, self.server.address)
+        self.cutter = FaultRelay(runtime, self.server.address)
         self.cutter.start()
         self.store.call_on_change(self.groups.set_configuration)
 
--- a/tests/test_keyvalue.py
+++ b/tests/test_keyvalue.py
@@ -116,7 +116,7 @@
     result = client.put("roster", "new", 7)
     assert outcome(result) == (Code.PLATFORM_UNAVAILABLE, ran)
     assert result.error.retry_after_ms > 0
-    assert sum(platform.server.show_calls()["by_caller"].values()) <= 3
+    assert sum(platform.server.count_calls()["by_caller"].values()) <= 3
 
 
 def test_a_put_to_nobody_has_not_run():
@@ -192,7 +192,7 @@
     client = platform.make_client(hanging.address, timeout_ms=SHORT_MS)
     assert client.put("roster", "new", 1) == Ok(2)
     assert client.get("roster") == Ok(StoredValue("new", 2))
-    assert hanging.show_calls()["by_caller"] == {"vm-1": 1}
+    assert hanging.count_calls()["by_caller"] == {"vm-1": 1}
     hanging.stop()
 
 
@@ -260,7 +260,7 @@
         settings = KeyValueSettings((platform.server.address,), "vm-1")
         client = KeyValueClient(client_runtime, settings)
         watch = client_runtime.start(client.watch, "roster", 0, 30_000)
-        while not platform.server.show_calls()["watches"]:
+        while not platform.server.count_calls()["watches"]:
             platform.runtime.sleep_ms(5)
         assert client_runtime.close(5000)
         assert watch.result(0).is_error()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -59,7 +59,7 @@
     def test_link_that_the_instance_closed_isnt_reused(self, group, pool):
         link = acquire(group, pool)
         pool.release(link, 2)
-        group.instances["orders-0"].cut_links()
+        group.instances["orders-0"].close_connections()
         group.runtime.clock.sleep_ms(50)
         assert acquire(group, pool) is not link
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bronzerelay.membership import Membership, MembershipSettings
-from tests.fleet import StillRuntime, make_roster
+from tests.fleet import SimulatedRuntime, make_roster
 
 NAMES = ("vm-1", "vm-2", "vm-3")
 SUSPECT_MS = 700
@@ -14,7 +14,7 @@
     """Three daemons on one clock; `hear` is one heartbeat with its reply."""
 
     def __init__(self):
-        self.runtime = StillRuntime()
+        self.runtime = SimulatedRuntime()
         self.members = {name: self.make(name) for name in NAMES}
 
     def make(self, name):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from bronzerelay.peerlink.ttypes import LoanCall, LoanReply
 from bronzerelay.peers import PeerLinks, PeerServer, greet_server
 from bronzerelay.runtime import Address, Connection
-from standins.cutter import REPEAT_REPLY, Cutter
+from standins.faultrelay import REPEAT_REPLY, FaultRelay
 from tests.endpoints import open_runtime, wait_until
 
 SECRET = "a secret of peers"
@@ -60,7 +60,7 @@
     The next call would get the answer of the one before: a caller is told that its
     commit is done though it hasn't run yet.
     """
-    cutter = Cutter(peer.runtime, peer.server.address)
+    cutter = FaultRelay(peer.runtime, peer.server.address)
     cutter.start()
     links = PeerLinks(peer.runtime, SECRET)
     assert links.call(cutter.address, "lend", CALL, TIMEOUT_MS).is_ok()
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -16,7 +16,7 @@
 from bronzerelay.runtime import Address
 from standins.kvstore import PAGE_ITEMS, KvStore
 from standins.linecaller import LineCaller
-from standins.linedemo import find_address
+from standins.linedemo import find_free_address
 from standins.linegroup import LOCAL
 from standins.lineplatform import OWN, SERVICE, read_events
 from tests.builders_pooler import PoolerFleet, make_runtime
@@ -91,7 +91,7 @@
             StoreClient(runtime, store.address).watch("", 1, 100)
 
     def test_lost_answer_may_have_run(self, runtime, store):
-        store.lose = 1
+        store.lose_answers = 1
         with pytest.raises(StoreError) as caught:
             StoreClient(runtime, store.address).compare_and_swap(
                 {"k": 0}, {"k": b"x"}, [], 1000
@@ -120,7 +120,7 @@
 class TestHttpClient:
     def test_nobody_listens(self, runtime):
         with pytest.raises(HttpCallError) as caught:
-            HttpClient(runtime, find_address(runtime)).call("GET", "/", b"", 500)
+            HttpClient(runtime, find_free_address(runtime)).call("GET", "/", b"", 500)
         assert not caught.value.may_have_run
 
 
@@ -141,7 +141,7 @@
 class TestProcess:
     def start(self, fleet, path):
         free = make_runtime()
-        ports = [find_address(free) for _ in range(3)]
+        ports = [find_free_address(free) for _ in range(3)]
         fleet.platform.write_settings(path, "d1", ports)
         process = subprocess.Popen(
             [sys.executable, str(ROOT / "platform" / "main.py")],
--- a/tests/test_pooler_path.py
+++ b/tests/test_pooler_path.py
@@ -222,7 +222,7 @@
         daemon = fleet.start_ready("d1")[0]
         assert daemon.directory.version >= version
         caller = open_session(fleet, STRICT)
-        replies = [caller.query_patiently(f"STORE row {n}") for n in range(3)]
+        replies = [caller.query_with_retries(f"STORE row {n}") for n in range(3)]
         assert [reply.error for reply in replies] == ["", "", ""]
 
     def test_invalid_items_of_other_writers_are_skipped(self, fleet):
@@ -428,7 +428,7 @@
         caller = open_session(fleet, STRICT)
         primary, *replicas = fleet.platform.group.instances.values()
         for replica in replicas:
-            replica.deaf = True
+            replica.replication_paused = True
         for number in range(CLOSE_ENTRIES + 5):
             run_ok(caller, f"STORE row{number} {number}")
         primary.leaving = True
@@ -437,7 +437,7 @@
         assert not fleet.platform.group.promotions
         run_ok(caller, "STORE last 1")
         for replica in replicas:
-            replica.deaf = False
+            replica.replication_paused = False
             replica.log = list(primary.log)
         fleet.wait(lambda: self.change_to(fleet), "a promotion")
         fleet.wait(lambda: caller.query("FETCH last").rows == ["1"], "the last change")
@@ -506,7 +506,7 @@
         run_ok(caller, "STORE a 1")
         old = fleet.platform.group.instances["orders-0"]
         fleet.platform.group.promote("orders-1", "d9", 9)
-        old.leads, old.term = True, 1
+        old.is_primary, old.term = True, 1
         fleet.store.put_json(
             "bronzerelay/leads/orders",
             ["orders", "orders-1", 2, 9, "d9", True, "orders-0", False],
@@ -610,11 +610,11 @@
         # Guards against waiting for lost watches to time out when no peer knows more.
         daemons = fleet.start_ready("d1", "d2", "d3")
         wait_for_long_watches(fleet)
-        fleet.store.swallow = True
+        fleet.store.drop_calls = True
         wait_for_version(fleet, daemons, fleet.platform.configure())
         fleet.runtime.clock.sleep_ms(2 * BATCH_PAUSE_MS)
         wait_for_long_watches(fleet)
-        fleet.store.swallow = False
+        fleet.store.drop_calls = False
         wait_for_version(fleet, daemons, fleet.platform.configure())
 
 
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -6,7 +6,7 @@
 from bronzerelay.watch import ANSWER_MARGIN_MS
 from standins.checks import check_all_answered, run_checks
 from standins.cluster import Cluster
-from standins.cutter import (
+from standins.faultrelay import (
     CUT_HALF_REPLY,
     CUT_HALF_REQUEST,
     CUT_REPLY,
--- a/tests/test_promise_transactions.py
+++ b/tests/test_promise_transactions.py
@@ -8,14 +8,14 @@
 from standins.caller import Caller, CallerSettings
 from standins.checks import run_checks
 from standins.cluster import Cluster
-from standins.cutter import (
+from standins.exchange import LinkPool
+from standins.faultrelay import (
     CUT_HALF_REPLY,
     CUT_REPLY,
     CUT_REQUEST,
     HOLD_REQUEST,
     REPEAT_REPLY,
 )
-from standins.exchange import LinkPool
 from standins.schedule import LoadSettings
 from tests.breakages import LAYOUT, find_serving, run_and_break
 from tests.endpoints import NAMES, add, get, open_runtime, put, wait_until
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -14,7 +14,7 @@
     settle_epoch,
 )
 from tests.builders_platform import run_platform
-from tests.fleet import StillRuntime, make_roster
+from tests.fleet import SimulatedRuntime, make_roster
 
 NAMES = ("vm-1", "vm-2", "vm-3")
 
@@ -33,7 +33,7 @@
         self.platform = platform
         self.name = name
         self.client = platform.make_client(caller=name)
-        self.clock = StillRuntime()
+        self.clock = SimulatedRuntime()
         self.membership = Membership(self.clock, MembershipSettings(name))
         entry = make_roster(1, [name])["members"][0]
         self.keeper = RosterKeeper(
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -65,7 +65,7 @@
     caller.ask("PUT", "/v1/values/roster", put(1, 0))
     path = "/v1/values/roster?after=1&wait_ms=9000"
     watch = platform.runtime.start(caller.ask, "GET", path, None, 0.3)
-    while not platform.server.show_calls()["watches"]:
+    while not platform.server.count_calls()["watches"]:
         platform.runtime.sleep_ms(5)
     platform.server.set_fault(DOWN)
     platform.server.store.put("roster", 2, 1)
