--- a/tests/test_line_codec.py
+++ b/tests/test_line_codec.py
@@ -1,4 +1,4 @@
-"""The platform's lines, decoded and encoded."""
+"""Tests of the codec of the platform's line protocol."""
 
 import pytest
 from hypothesis import given
@@ -10,8 +10,8 @@
     encode_answer,
     encode_query,
     encode_refusal,
+    parse_position,
     parse_status,
-    read_position,
 )
 
 from bronzerelay.codes import CODES, NOT_RUN, Code, Refusal
@@ -29,8 +29,8 @@
     Verb,
 )
 
-# Words that tell a caller that nothing of its attempt is kept.
-PROMISES = {"RETRY", "ABORTED", "LAGGING", "READONLY", "MOVED", "MAXCONN"}
+# Words that tell a caller that its attempt had no effect.
+NO_EFFECT_WORDS = {"RETRY", "ABORTED", "LAGGING", "READONLY", "MOVED", "MAXCONN"}
 
 
 def decode(text):
@@ -72,11 +72,11 @@
         "text",
         ["QUERY", "QUERY i", "QUERY i ", "QUERY i FETCH", "QUERY i PARSE s", "FETCH a"],
     )
-    def test_bad_line(self, text):
+    def test_malformed_line(self, text):
         assert isinstance(decode(text), Malformed)
 
-    def test_callers_cant_ask_for_what_only_the_pooler_sends(self):
-        # A caller that could send these would move the lead of a service.
+    def test_callers_cannot_send_what_only_the_pooler_may(self):
+        # A caller that could send these could change the primary of a service.
         for text in ("STATUS", "STEPDOWN 9", "PAUSE 9", "WAITLSN 1.1 FETCH a"):
             assert isinstance(decode(f"QUERY i {text}"), Malformed)
 
@@ -109,10 +109,10 @@
         assert encode_query("i", "FETCH a", None) == b"QUERY i FETCH a\r\n"
 
     def test_position(self):
-        assert read_position("3.7") == Position(3, 7)
-        assert read_position("-") is None
+        assert parse_position("3.7") == Position(3, 7)
+        assert parse_position("-") is None
         with pytest.raises(ValueError):
-            read_position("x")
+            parse_position("x")
 
     def test_status(self):
         status = parse_status("replica 3 3.1209 0 12 2 17")
@@ -132,21 +132,21 @@
             b"DATAROW a\r\nDATAROW b\r\nCOMPLETE s\r\nREADY I 1.2\r\n"
         )
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_names_its_retry_delay(self):
         refusal = Refusal(Code.RATE_EXCEEDED, "Over\r\nits rate.", NOT_RUN, 250)
         line = encode_refusal(refusal)
         assert line == b"ERROR RETRY Over its rate. Come back in 250 ms.\r\n"
 
     @pytest.mark.parametrize("code", list(Code))
-    def test_codes_that_may_have_run_promise_nothing(self, code):
-        # A word that says "nothing is kept" lets the caller run its change again. For
-        # a change that went through it would be done twice.
+    def test_codes_that_may_have_run_never_claim_no_effect(self, code):
+        # A caller that is told that its attempt had no effect runs the change again. If
+        # the change had been applied, it would be applied twice.
         if CODES[code].ran == NOT_RUN or code in (Code.OK, Code.INTERNAL_ERROR):
             return
         if code is Code.PLATFORM_UNAVAILABLE:
-            return  # only operators meet it
+            return  # Only operators get this code.
         word = encode_refusal(Refusal(code, "x", CODES[code].ran)).split()[1].decode()
-        assert word not in PROMISES
+        assert word not in NO_EFFECT_WORDS
 
     def test_every_encoder_ends_its_line(self):
         assert CODEC.encode_startup("s", "w", "i") == b"STARTUP s w i\r\n"
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a whole: its folder, its clients, and the process that it starts."""
+"""Tests of the platform adapter: its folder, its clients, and the daemon process."""
 
 import platform
 import signal
@@ -22,11 +22,11 @@
 from tests.builders_pooler import PoolerFleet, make_runtime
 
 ROOT = Path(__file__).parent.parent
-# Words of the platform's protocol, which the product itself must not know.
+# Words of the platform's protocol, which must not occur in the product's own code.
 FOREIGN_WORDS = ["kv-", "op/config", "servers/", "WAITLSN", "STEPDOWN", "DATAROW"]
 FOREIGN_WORDS += ["max_staleness_ms", "rate_per_s", "api_keys", "X-Fencing-Token"]
-# The largest resident size of a daemon after its start.
-MOST_KB = 45 * 1024
+# Limit of a daemon's resident memory after its start.
+MAX_RESIDENT_KB = 45 * 1024
 
 
 @pytest.fixture
@@ -48,7 +48,7 @@
         assert platform.python_version()
         assert not (ROOT / "platform" / "__init__.py").exists()
 
-    def test_product_doesnt_know_the_platforms_words(self):
+    def test_product_is_free_of_the_platforms_words(self):
         for path in (ROOT / "bronzerelay").rglob("*.py"):
             text = path.read_text()
             assert [word for word in FOREIGN_WORDS if word in text] == [], path
@@ -100,7 +100,7 @@
         assert store.items["k"].data == b"x"
 
     @pytest.mark.parametrize("status", [429, 503])
-    def test_refused_call_did_nothing(self, runtime, store, status):
+    def test_refused_call_had_no_effect(self, runtime, store, status):
         store.status = status
         with pytest.raises(StoreError) as caught:
             StoreClient(runtime, store.address).compare_and_swap(
@@ -108,7 +108,7 @@
             )
         assert not caught.value.may_have_run
 
-    def test_silent_store_is_given_up_in_time(self, runtime, store):
+    def test_call_to_a_silent_store_times_out(self, runtime, store):
         store.silent = True
         started_ms = runtime.clock.now_ms()
         with pytest.raises(StoreError):
@@ -118,7 +118,7 @@
 
 
 class TestHttpClient:
-    def test_nobody_listens(self, runtime):
+    def test_call_to_a_closed_port_has_not_run(self, runtime):
         with pytest.raises(HttpCallError) as caught:
             HttpClient(runtime, find_free_address(runtime)).call("GET", "/", b"", 500)
         assert not caught.value.may_have_run
@@ -131,8 +131,8 @@
             call = FailoverCall(fleet.runtime, fleet.store.address)
             assert call(SERVICE, "orders-1", "d1", 3, 1000) is Promotion.DONE
             assert call(SERVICE, "gone", "d1", 4, 1000) is Promotion.NOT_RUNNING
-            nobody = FailoverCall(fleet.runtime, Address(LOCAL, 1))
-            assert nobody(SERVICE, "orders-1", "d1", 5, 300) is Promotion.UNKNOWN
+            unreachable = FailoverCall(fleet.runtime, Address(LOCAL, 1))
+            assert unreachable(SERVICE, "orders-1", "d1", 5, 300) is Promotion.UNKNOWN
             assert fleet.platform.group.promotions[0] == ("orders-1", "d1", 3)
         finally:
             fleet.close()
@@ -140,8 +140,8 @@
 
 class TestProcess:
     def start(self, fleet, path):
-        free = make_runtime()
-        ports = [find_free_address(free) for _ in range(3)]
+        port_runtime = make_runtime()
+        ports = [find_free_address(port_runtime) for _ in range(3)]
         fleet.platform.write_settings(path, "d1", ports)
         process = subprocess.Popen(
             [sys.executable, str(ROOT / "platform" / "main.py")],
@@ -167,8 +167,8 @@
         return sessions[0]
 
     def test_process_from_start_to_stop(self, tmp_path):
-        # The platform starts the program, changes its settings and stops it. A signal
-        # that nobody handles ends the process and cuts all sessions.
+        # The platform sends SIGHUP when the settings change and SIGTERM to stop the
+        # daemon. A signal without a handler would end the process and its sessions.
         fleet = PoolerFleet()
         process, address = self.start(fleet, tmp_path / "settings.toml")
         try:
@@ -179,7 +179,7 @@
             assert caller.query("FETCH a").rows == ["1"]
             status = Path(f"/proc/{process.pid}/status").read_text()
             resident_kb = int(status.partition("VmRSS:")[2].split()[0])
-            assert resident_kb < MOST_KB
+            assert resident_kb < MAX_RESIDENT_KB
             process.send_signal(signal.SIGTERM)
             output, _ = process.communicate(timeout=10)
         finally:
@@ -192,7 +192,7 @@
         assert "daemon: The settings were read again." in messages
         assert "daemon: The daemon has stopped." in messages
 
-    def test_mistake_in_the_settings_is_named(self, tmp_path):
+    def test_error_in_the_settings_is_named(self, tmp_path):
         path = tmp_path / "settings.toml"
         path.write_text("node_name = 3\n")
         result = subprocess.run(
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Tests of reading the platform's settings file."""
 
 import os
 
@@ -49,7 +49,7 @@
             ("10.1.0.26:8465", "nowhere"),
         ],
     )
-    def test_mistake(self, before, after):
+    def test_invalid_file_is_rejected(self, before, after):
         with pytest.raises(ValueError):
             read_settings(TEXT.replace(before, after), None)
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path: real processes under load, judged by the checks."""
+"""Tests of the whole path: real processes under load, verified by the checks."""
 
 import pytest
 
@@ -50,10 +50,10 @@
     return run_checks(record, evidence, cluster.rate_limits)
 
 
-def test_a_lost_primary_and_a_planned_stop_break_nothing(cluster):
-    """Under load the primary of one group is killed, and one proxy of three is asked
-    to stop. Callers may wait for a moment; no change is lost or doubled, no answer is
-    cut, and nobody reads less than what he wrote.
+def test_killed_primary_and_planned_stop_break_no_promise(cluster):
+    """Under load, the primary of one group is killed and one of three daemons is
+    stopped with SIGTERM. Callers may have to wait, but no change may be lost or
+    doubled, no answer cut off, and no session may read less than it wrote.
     """
     load = start_load(cluster, "first")
     cluster.runtime.sleep_ms(300)
@@ -71,10 +71,10 @@
     cluster.wait_ready(1, ["vm-3"])
 
 
-def test_a_killed_proxy_and_a_frozen_primary_break_nothing(cluster):
-    """Under load one proxy of three dies with requests in its hands, and the primary
-    of a group stops without a word, to wake up when another has its place. What it
-    then still does must reach nobody.
+def test_killed_daemon_and_frozen_primary_break_no_promise(cluster):
+    """Under load, one of three daemons is killed while it serves requests, and the
+    primary of a group is frozen and thawed after another one has replaced it. Nothing
+    that the old primary does after the thaw may reach a caller.
     """
     load = start_load(cluster, "second")
     cluster.runtime.sleep_ms(300)
