--- a/standins/adminops.py
+++ b/standins/adminops.py
@@ -1,4 +1,4 @@
-"""Faults on command and the record of what ran, for admin connections."""
+"""The handlers of an endpoint stand-in for the ops of admin connections."""
 
 import base64
 
@@ -9,8 +9,8 @@
 RECEIVED_LIMIT_BYTES = 64 * 1024 * 1024
 
 
-class Administration:
-    """What admin connections ask; a freeze doesn't hold it up."""
+class AdminOperations:
+    """Injects faults and reports what ran; a freeze doesn't delay it."""
 
     def __init__(self, operations: Operations):
         self._operations = operations
@@ -19,24 +19,24 @@
         self._received = bytearray()
         self._received_all = True
 
-    def keep_received(self, part: bytes) -> None:
-        """Keep what another connection received, up to a limit."""
-        if len(self._received) + len(part) > RECEIVED_LIMIT_BYTES:
+    def record_received(self, data: bytes) -> None:
+        """Keep data that a connection of another kind received, up to a limit."""
+        if len(self._received) + len(data) > RECEIVED_LIMIT_BYTES:
             self._received_all = False
             return
-        self._received += part
+        self._received += data
 
     def answer(self, session: Session, request: Request) -> dict:
-        """Return the answer's fields."""
+        """Run an op and return the fields of its answer."""
         op = request["op"]
         if op == "status":
             return self._operations.answer_status(session, request)
         with self._operations.condition:
-            answer = self._change_faults(op, request)
+            answer = self._run_op(op, request)
             self._operations.condition.notify_all()
         return answer
 
-    def _change_faults(self, op: str, request: Request) -> dict:
+    def _run_op(self, op: str, request: Request) -> dict:
         faults = self._faults
         operations = self._operations
         match op:
@@ -52,10 +52,10 @@
                 operations.lag_ms = request.get("lag_ms", operations.lag_ms)
                 operations.service_ms = request.get("service_ms", operations.service_ms)
             case "record":
-                return self._show_record(request)
+                return self._make_record(request)
             case "received":
-                data = base64.b64encode(self._received).decode()
-                return {"bytes": data, "complete": self._received_all}
+                encoded = base64.b64encode(self._received).decode()
+                return {"bytes": encoded, "complete": self._received_all}
             case _:
                 fault = Fault(
                     op, request.get("before", False), request.get("delay_ms", 0)
@@ -63,7 +63,7 @@
                 faults.add(request["ops"], request["count"], fault)
         return {}
 
-    def _show_record(self, request: Request) -> dict:
+    def _make_record(self, request: Request) -> dict:
         entries = self._instance.entries[request.get("after", 0) :]
         executions = self._instance.executions[request.get("after_execution", 0) :]
         return {
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint stand-in: one instance of a database group, with faults on command."""
+"""An endpoint stand-in: one instance of a database group, with faults to inject."""
 
 import signal
 from collections.abc import Callable
@@ -15,19 +15,19 @@
     TaskLimitError,
     parse_address,
 )
-from standins.administration import Administration
+from standins.adminops import AdminOperations
 from standins.faults import CROSS, DELAY, DROP, Fault
 from standins.instance import RefusedError
 from standins.messages import OPS, EndpointSettings, Request, Session
 from standins.operations import Operations
 
-# Tasks beside those of work connections: monitors, admins, other instances.
+# Tasks for connections that aren't work connections: monitors, admins, replicas.
 OTHER_TASKS = 300
-STOP_MS = 2000
+STOP_TIMEOUT_MS = 2000
 
 
 def make_error(request_id: int, error: str, message: str, term: int = 0) -> dict:
-    """Return an answer that refuses; `term` is given when it is not 0."""
+    """Return a refusal; it has a `term` only when that is not 0."""
     answer = {"id": request_id, "ok": False, "error": error, "message": message}
     return {**answer, "term": term} if term else answer
 
@@ -39,7 +39,7 @@
         self.runtime = runtime
         self.settings = settings
         self.operations = Operations(runtime, settings)
-        self.administration = Administration(self.operations)
+        self.admin_operations = AdminOperations(self.operations)
         self.instance = self.operations.instance
         self.condition = self.operations.condition
         self.faults = self.operations.faults
@@ -51,22 +51,22 @@
 
     @property
     def address(self) -> Address:
-        """Where the endpoint listens."""
+        """The address on which the endpoint listens."""
         return self._listener.address
 
     @property
     def stopped(self) -> bool:
-        """Whether the endpoint has begun to end."""
+        """Whether the endpoint is stopping."""
         return self.operations.stopped
 
     def start(self) -> None:
-        """Listen, and take the role that the settings give."""
+        """Start to listen, and take the role from the settings."""
         self._listener = self.runtime.listen(self.settings.listen)
         self.runtime.start(self._accept)
-        self.operations.take_first_role()
+        self.operations.take_initial_role()
 
     def stop(self) -> None:
-        """End every connection and every wait."""
+        """Close every connection and wake every waiting task."""
         self.operations.stop()
         self._listener.close()
         with self.condition:
@@ -97,12 +97,12 @@
         except OSError:
             pass
         finally:
-            self._end(session)
+            self._end_session(session)
 
-    def _end(self, session: Session) -> None:
+    def _end_session(self, session: Session) -> None:
         with self.condition:
             self._sessions.discard(session)
-            self.instance.drop(session.transaction)
+            self.instance.discard_transaction(session.transaction)
             if session.kind == "work":
                 self._work_connections -= 1
         session.connection.close()
@@ -110,18 +110,18 @@
     def _serve_requests(self, session: Session) -> None:
         buffer = b""
         while True:
-            part = session.connection.receive()
-            if not part:
+            data = session.connection.receive()
+            if not data:
                 return
             if session.kind != "admin":
-                self.administration.keep_received(part)
-            *lines, buffer = (buffer + part).split(b"\n")
+                self.admin_operations.record_received(data)
+            *lines, buffer = (buffer + data).split(b"\n")
             for line in lines:
                 if not self._serve_line(session, line):
                     return
 
     def _serve_line(self, session: Session, line: bytes) -> bool:
-        """Run one request and send its answer; return False to close."""
+        """Run one request and send its answer; return False to close the connection."""
         try:
             request = self._decoder.decode(line)
             op = request["op"]
@@ -130,9 +130,9 @@
             self._send(session, make_error(0, "malformed", str(error)))
             return False
         if not session.kind:
-            return self._greet(session, request)
+            return self._answer_hello(session, request)
         if session.kind == "admin":
-            answer = self._run(session, request, self.administration.answer)
+            answer = self._run(session, request, self.admin_operations.answer)
             return self._send(session, answer)
         with self.condition:
             self.operations.await_thaw()
@@ -144,9 +144,11 @@
         if fault and fault.kind == DROP and fault.before:
             return False
         answer = self._run(session, request, self.operations.handlers.get(op))
-        return self._finish(session, answer, fault)
+        return self._send_with_fault(session, answer, fault)
 
-    def _finish(self, session: Session, answer: dict, fault: Fault | None) -> bool:
+    def _send_with_fault(
+        self, session: Session, answer: dict, fault: Fault | None
+    ) -> bool:
         if fault and fault.kind == DROP:
             return False
         if fault and fault.kind == DELAY:
@@ -178,7 +180,7 @@
             return make_error(request["id"], "malformed", message)
         return {"id": request["id"], "ok": True, **(fields or {})}
 
-    def _greet(self, session: Session, request: Request) -> bool:
+    def _answer_hello(self, session: Session, request: Request) -> bool:
         kind = request.get("kind", "")
         if request["op"] != "hello" or not kind or "caller" not in request:
             message = "the first message must be hello with caller and kind"
@@ -210,8 +212,8 @@
         return True
 
 
-def read_address(context: click.Context, option: click.Option, text: str | None):
-    """Return the address that an option gives, or fail naming the option."""
+def parse_option(context: click.Context, option: click.Option, text: str | None):
+    """Return the parsed address of an option; an error message names the option."""
     if text is None:
         return None
     try:
@@ -223,14 +225,16 @@
 @click.command()
 @click.option("--name", required=True, help="Name of this instance.")
 @click.option("--group", required=True, help="Database group of this instance.")
-@click.option("--listen", required=True, callback=read_address, help="HOST:PORT.")
-@click.option("--slots", default=3, show_default=True, help="Requests at one time.")
+@click.option("--listen", required=True, callback=parse_option, help="HOST:PORT.")
+@click.option(
+    "--slots", default=3, show_default=True, help="Requests that run at once."
+)
 @click.option("--connections", default=20, show_default=True)
 @click.option("--connect-ms", default=10.0, show_default=True)
 @click.option("--service-ms", default=1.0, show_default=True)
 @click.option("--lag-ms", default=5.0, show_default=True, help="Lag as a replica.")
 @click.option("--primary-term", default=0, help="Start as primary of this term.")
-@click.option("--follow", callback=read_address, help="Start as replica of HOST:PORT.")
+@click.option("--follow", callback=parse_option, help="Start as replica of HOST:PORT.")
 def main(**options: Any) -> None:
     """Run an endpoint stand-in until SIGTERM."""
     settings = EndpointSettings(**options)
@@ -243,7 +247,7 @@
     click.echo(f"endpoint: {settings.name} listens on {server.address}")
     ended.wait()
     server.stop()
-    runtime.close(STOP_MS)
+    runtime.close(STOP_TIMEOUT_MS)
 
 
 if __name__ == "__main__":
--- a/standins/endpointadmin.py
+++ b/standins/endpointadmin.py
@@ -1,4 +1,4 @@
-"""A client for the faults and records of an endpoint stand-in."""
+"""A client for the admin ops of an endpoint stand-in."""
 
 from typing import Any
 
@@ -10,29 +10,29 @@
 
 
 class AdminClient:
-    """An admin connection to one endpoint; one task at a time may use it."""
+    """An admin connection to one endpoint, for one task at a time."""
 
     def __init__(self, connection: Connection):
         self._connection = connection
         connection.set_timeout(TIMEOUT_MS)
 
     def ask(self, op: str, **fields: Any) -> dict:
-        """Return the answer; raise OSError or ValueError when it isn't ok."""
-        question = {"id": 1, "op": op, **fields}
-        self._connection.send(msgspec.json.encode(question) + b"\n")
-        parts = []
-        while not parts or not parts[-1].endswith(b"\n"):
-            part = self._connection.receive()
-            if not part:
+        """Return the answer; raise ValueError on a refusal, OSError when none comes."""
+        request = {"id": 1, "op": op, **fields}
+        self._connection.send(msgspec.json.encode(request) + b"\n")
+        chunks = []
+        while not chunks or not chunks[-1].endswith(b"\n"):
+            chunk = self._connection.receive()
+            if not chunk:
                 raise OSError("the endpoint closed the admin connection")
-            parts.append(part)
-        answer = msgspec.json.decode(b"".join(parts))
+            chunks.append(chunk)
+        answer = msgspec.json.decode(b"".join(chunks))
         if not answer["ok"]:
             raise ValueError(f"{op}: {answer['error']}: {answer['message']}")
         return answer
 
     def close(self) -> None:
-        """Close the connection; faults stay in force."""
+        """Close the connection; the faults that were set remain."""
         self._connection.close()
 
 
--- a/standins/faultrelay.py
+++ b/standins/faultrelay.py
@@ -1,4 +1,4 @@
-"""A relay for TCP connections that cuts, holds and repeats what passes."""
+"""A TCP relay that cuts, holds back or repeats the data that passes through it."""
 
 import contextlib
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 LOOPBACK = Address("127.0.0.1", 0)
 DIAL_TIMEOUT_MS = 1000
-# What happens to the next request (bytes from the side that dialled).
+# Faults of requests, which are the data from the side that opened the connection.
 CUT_REQUEST = "cut_request"
 CUT_HALF_REQUEST = "cut_half_request"
 HOLD_REQUEST = "hold_request"
-# What happens to the next reply.
+# Faults of replies.
 CUT_REPLY = "cut_reply"
 CUT_HALF_REPLY = "cut_half_reply"
 REPEAT_REPLY = "repeat_reply"
@@ -19,18 +19,18 @@
 
 
 class Armed(NamedTuple):
-    """A fault that waits for bytes that hold its marker."""
+    """A fault that is to be applied to the next data that contains its marker."""
 
     fault: str
     marker: bytes
 
 
 class FaultRelay:
-    """Passes connections on to `target`; each armed fault strikes once.
+    """Relays connections to `target`; each armed fault is applied once.
 
-    A fault strikes the next bytes that pass in its direction, on any connection, or
-    the next ones that hold its marker. With small messages these are one whole request
-    or reply.
+    A fault applies to the next data that passes in its direction on any connection and
+    contains its marker, if it has one. With small messages that is one whole request or
+    reply. `struck` counts the faults that were applied.
     """
 
     def __init__(self, runtime: Runtime, target: Address):
@@ -46,21 +46,21 @@
 
     @property
     def address(self) -> Address:
-        """Where the relay listens."""
+        """The address on which the relay listens."""
         return self._listener.address
 
     def start(self) -> None:
-        """Begin to pass connections on."""
+        """Begin to relay connections."""
         self._runtime.start(self._accept)
 
     def arm(self, fault: str, marker: bytes = b"") -> None:
-        """Let `fault` strike once, at bytes that hold `marker`."""
+        """Apply `fault` once, to the next data that contains `marker`."""
         with self._condition:
             self._armed.append(Armed(fault, marker))
             self._released = False
 
     def release(self) -> None:
-        """Deliver the requests that are held, though their senders are cut off."""
+        """Deliver the requests that are held, although their senders were cut off."""
         with self._condition:
             self._released = True
             self._condition.notify_all()
@@ -82,77 +82,77 @@
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
             while True:
-                near = self._listener.accept()
+                client = self._listener.accept()
                 try:
-                    self._runtime.start(self._relay, near)
+                    self._runtime.start(self._relay, client)
                 except (TaskLimitError, RuntimeError):
-                    near.close()
+                    client.close()
 
-    def _relay(self, near: Connection) -> None:
+    def _relay(self, client: Connection) -> None:
         try:
-            far = self._runtime.dial(self._target, DIAL_TIMEOUT_MS)
+            server = self._runtime.dial(self._target, DIAL_TIMEOUT_MS)
         except OSError:
-            near.close()
+            client.close()
             return
-        far.set_timeout(None)
+        server.set_timeout(None)
         with self._condition:
-            self._connections |= {near, far}
+            self._connections |= {client, server}
             refusing = self._refusing
         if refusing:
-            near.close()
-            far.close()
-        replies = self._runtime.start(self._pass_replies, far, near)
-        self._pass_requests(near, far)
+            client.close()
+            server.close()
+        replies = self._runtime.start(self._relay_replies, server, client)
+        self._relay_requests(client, server)
         replies.result()
         with self._condition:
-            self._connections -= {near, far}
+            self._connections -= {client, server}
 
-    def _pass_requests(self, near: Connection, far: Connection) -> None:
+    def _relay_requests(self, client: Connection, server: Connection) -> None:
         with contextlib.suppress(OSError):
-            while data := near.receive():
-                fault = self._take(data, is_request=True)
+            while data := client.receive():
+                fault = self._take_fault(data, is_request=True)
                 if fault == HOLD_REQUEST:
-                    self._hold(near, far, data)
+                    self._hold(client, server, data)
                     return
                 if fault == CUT_HALF_REQUEST:
-                    far.send(data[: len(data) // 2])
+                    server.send(data[: len(data) // 2])
                 if fault:
                     break
-                far.send(data)
-        near.close()
-        far.close()
+                server.send(data)
+        client.close()
+        server.close()
 
-    def _hold(self, near: Connection, far: Connection, data: bytes) -> None:
-        """Cut the sender off at once, and deliver its request when released.
+    def _hold(self, client: Connection, server: Connection, data: bytes) -> None:
+        """Close the sender's connection at once, and deliver its request on release.
 
-        So a process that was frozen reads, when it goes on, what its peer had sent
-        before it gave up.
+        In the same way a process that was frozen and thawed reads requests whose
+        senders have given up.
         """
-        near.close()
+        client.close()
         with self._condition:
             self._condition.wait_for(lambda: self._released)
         with contextlib.suppress(OSError):
-            far.send(data)
+            server.send(data)
 
-    def _pass_replies(self, far: Connection, near: Connection) -> None:
+    def _relay_replies(self, server: Connection, client: Connection) -> None:
         with contextlib.suppress(OSError):
-            while data := far.receive():
-                fault = self._take(data, is_request=False)
+            while data := server.receive():
+                fault = self._take_fault(data, is_request=False)
                 if fault == CUT_HALF_REPLY:
-                    near.send(data[: len(data) // 2])
+                    client.send(data[: len(data) // 2])
                 if fault in (CUT_REPLY, CUT_HALF_REPLY):
                     break
-                near.send(data)
+                client.send(data)
                 if fault == REPEAT_REPLY:
-                    near.send(data)
-        near.close()
-        far.close()
+                    client.send(data)
+        client.close()
+        server.close()
 
-    def _take(self, data: bytes, is_request: bool) -> str:
+    def _take_fault(self, data: bytes, is_request: bool) -> str:
         with self._condition:
             for armed in self._armed:
-                suits = (armed.fault in REQUEST_FAULTS) == is_request
-                if suits and armed.marker in data:
+                matches_direction = (armed.fault in REQUEST_FAULTS) == is_request
+                if matches_direction and armed.marker in data:
                     self._armed.remove(armed)
                     self.struck += 1
                     return armed.fault
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""The faults that an endpoint stand-in shows on command."""
+"""The faults that can be injected into an endpoint stand-in."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Fault(NamedTuple):
-    """What happens to one answer."""
+    """What happens to a request's answer; `before` drops it before the request runs."""
 
     kind: str
     before: bool = False
@@ -34,12 +34,12 @@
         self._rules: list[Rule] = []
 
     def add(self, ops: Sequence[str], count: int, fault: Fault) -> None:
-        """Let `fault` happen to the next `count` requests of these ops."""
+        """Apply `fault` to the next `count` requests of these ops."""
         if count > 0:
             self._rules.append(Rule(ops, count, fault))
 
     def take(self, op: str) -> Fault | None:
-        """Return the fault that befalls this request, if any, and count it."""
+        """Return the fault for a request of this op, if any, and count the request."""
         for rule in self._rules:
             if op in rule.ops:
                 rule.count -= 1
--- a/standins/follower.py
+++ b/standins/follower.py
@@ -1,4 +1,4 @@
-"""The task by which an endpoint stand-in pulls the log of its primary."""
+"""The task that pulls the primary's log into a replica of the endpoint stand-in."""
 
 from typing import Any, Protocol, TypedDict
 
@@ -7,11 +7,11 @@
 from bronzerelay.runtime import Address, Connection, Runtime
 from standins.instance import Entry
 
-DIAL_MS = 500
+DIAL_TIMEOUT_MS = 500
 PULL_WAIT_MS = 200
-# A primary that is silent for longer than a whole pull is asked anew.
-ANSWER_MS = PULL_WAIT_MS + 200
-PAUSE_MS = (20, 50)
+# Longer than a pull waits at the primary; after that a new connection is opened.
+ANSWER_TIMEOUT_MS = PULL_WAIT_MS + 200
+RETRY_PAUSE_MS = (20, 50)
 
 
 class PullAnswer(TypedDict, total=False):
@@ -25,7 +25,7 @@
 
 
 class Puller(Protocol):
-    """What the task needs of the endpoint."""
+    """What the task uses of the endpoint."""
 
     runtime: Runtime
     lag_ms: float
@@ -34,32 +34,32 @@
     instance: Any
     faults: Any
 
-    def keep_pull_connection(self, connection: Connection) -> None:
-        """Remember the connection to the primary, to close it at a fence."""
+    def set_pull_connection(self, connection: Connection) -> None:
+        """Store the connection to the primary, which a fence closes."""
 
     def await_thaw(self) -> None:
-        """Wait, the condition held, while the instance is frozen."""
+        """Wait while the instance is frozen; the caller holds the condition."""
 
 
 class Upstream:
-    """A connection to the primary; one question at a time."""
+    """A connection to the primary, for one request at a time."""
 
     def __init__(self, connection: Connection):
         self.connection = connection
         self.name = ""
         self._decoder = msgspec.json.Decoder(PullAnswer)
-        connection.set_timeout(ANSWER_MS)
+        connection.set_timeout(ANSWER_TIMEOUT_MS)
 
-    def ask(self, question: dict) -> PullAnswer:
+    def ask(self, request: dict) -> PullAnswer:
         """Return the answer, or raise OSError or msgspec's error."""
-        self.connection.send(msgspec.json.encode(question) + b"\n")
-        parts = []
-        while not parts or not parts[-1].endswith(b"\n"):
-            part = self.connection.receive()
-            if not part:
+        self.connection.send(msgspec.json.encode(request) + b"\n")
+        chunks = []
+        while not chunks or not chunks[-1].endswith(b"\n"):
+            chunk = self.connection.receive()
+            if not chunk:
                 raise OSError("the primary closed the connection")
-            parts.append(part)
-        return self._decoder.decode(b"".join(parts))
+            chunks.append(chunk)
+        return self._decoder.decode(b"".join(chunks))
 
 
 def pull_from_primary(
@@ -69,9 +69,9 @@
     runtime = server.runtime
     while not server.stopped and server.instance.generation == generation:
         try:
-            connection = runtime.dial(primary, DIAL_MS)
+            connection = runtime.dial(primary, DIAL_TIMEOUT_MS)
         except OSError:
-            runtime.sleep_ms(runtime.random.uniform(*PAUSE_MS))
+            runtime.sleep_ms(runtime.random.uniform(*RETRY_PAUSE_MS))
             continue
         try:
             _pull(server, Upstream(connection), term, generation)
@@ -79,35 +79,35 @@
             pass
         finally:
             connection.close()
-        runtime.sleep_ms(runtime.random.uniform(*PAUSE_MS))
+        runtime.sleep_ms(runtime.random.uniform(*RETRY_PAUSE_MS))
 
 
 def _pull(server: Puller, upstream: Upstream, term: int, generation: int) -> None:
-    """Ask over one connection for as long as the answers can be applied."""
+    """Pull over one connection until an answer can't be applied."""
     instance = server.instance
     with instance.condition:
         if server.stopped or instance.generation != generation:
             return
-        server.keep_pull_connection(upstream.connection)
+        server.set_pull_connection(upstream.connection)
     hello = {"op": "hello", "caller": server.settings.name, "kind": "monitor"}
     upstream.name = upstream.ask({"id": 0, **hello}).get("instance", "")
-    question = {"id": 1, "op": "pull", "term": term, "follower": server.settings.name}
-    question["wait_ms"] = PULL_WAIT_MS
+    request = {"id": 1, "op": "pull", "term": term, "follower": server.settings.name}
+    request["wait_ms"] = PULL_WAIT_MS
     applied = True
     while applied:
         with instance.condition:
-            question["log_term"] = instance.log_term
-            question["position"] = instance.position
-        question["lag_ms"] = server.lag_ms
-        answer = upstream.ask(question)
+            request["log_term"] = instance.log_term
+            request["position"] = instance.position
+        request["lag_ms"] = server.lag_ms
+        answer = upstream.ask(request)
         applied = _apply(server, upstream.name, generation, answer)
 
 
 def _apply(server: Puller, name: str, generation: int, answer: PullAnswer) -> bool:
-    """Take over what the primary sent; return whether to go on with it.
+    """Apply an answer of the primary; return whether to go on pulling.
 
-    The check is made after any freeze and under the condition: entries that a
-    fence has made void would otherwise slip in behind it.
+    The generation is checked after any freeze and with the condition held. Otherwise
+    entries that were pulled before a fence could be appended after it.
     """
     instance = server.instance
     with instance.condition:
--- a/standins/instance.py
+++ b/standins/instance.py
@@ -22,7 +22,7 @@
 
 
 class Entry(TypedDict):
-    """An entry of the log; a row that changes to None is deleted."""
+    """An entry of the log; a row whose new value is None is deleted."""
 
     term: int
     kind: Literal["promote", "write", "cancel"]
@@ -32,7 +32,7 @@
 
 
 class Undo(NamedTuple):
-    """What a row held before an entry changed it."""
+    """The value and version of a row before an entry changed it."""
 
     row: str
     value: Any
@@ -40,7 +40,7 @@
 
 
 class Execution(NamedTuple):
-    """One attempt to run something, for the record; `time_ms` is steady time."""
+    """The record of one attempt to run an op; `time_ms` is of the steady clock."""
 
     time_ms: float
     op: str
@@ -51,7 +51,7 @@
 
 
 class Transaction:
-    """An open transaction; it keeps its changes until the commit."""
+    """An open transaction; it buffers its changes until the commit."""
 
     def __init__(self, workspace: str):
         self.workspace = workspace
@@ -60,7 +60,7 @@
         self.aborted = False
 
 
-def name_row(statement: dict) -> str:
+def get_row_name(statement: dict) -> str:
     """Return the row that a statement names."""
     row = statement.get("row")
     if not isinstance(row, str):
@@ -68,8 +68,8 @@
     return row
 
 
-def compute(statement: dict, current: Any) -> tuple[Any, Any]:
-    """Return what a writing statement answers and what its row holds afterwards."""
+def compute_write(statement: dict, current: Any) -> tuple[Any, Any]:
+    """Return the answer to a write statement and the new value of its row."""
     match statement:
         case {"verb": "put", "value": value}:
             return value, value
@@ -98,18 +98,18 @@
         self.slots_used = 0
         self.term = 0
         self.role = REPLICA
-        # Grows with each change of term, role or primary: what a pull brings is
-        # dropped when it was asked for under an earlier generation.
+        # Incremented with each change of term, role or primary. The answer to a pull
+        # that was sent under an earlier generation is dropped.
         self.generation = 0
         self.primary: Address | None = None
         self.entries: list[Entry] = []
         self.rows: dict[str, Any] = {}
         self.executions: list[Execution] = []
         self._undo: list[list[Undo]] = []
-        self._written_ms: list[float] = []
+        self._append_times_ms: list[float] = []
         self._versions: dict[str, int] = {}
-        self._by_request: dict[str, int] = {}
-        self._promoted_at = 0
+        self._index_by_request: dict[str, int] = {}
+        self._promotion_position = 0
         self._transactions: set[Transaction] = set()
 
     # The log
@@ -125,26 +125,26 @@
         return len(self.entries)
 
     def append(self, entry: Entry) -> None:
-        """Add an entry to the log and change the rows as it says."""
+        """Add an entry to the log and apply its changes to the rows."""
         undo = []
         self.entries.append(entry)
         for row, value in entry["changes"].items():
             undo.append(Undo(row, self.rows.get(row), self._versions.get(row, 0)))
             self._set_row(row, value, self.position)
         self._undo.append(undo)
-        self._written_ms.append(self.clock.now_ms())
+        self._append_times_ms.append(self.clock.now_ms())
         if entry["request_id"]:
-            self._by_request[entry["request_id"]] = self.position - 1
+            self._index_by_request[entry["request_id"]] = self.position - 1
         self.condition.notify_all()
 
     def cut_log(self, position: int) -> None:
         """Drop the entries after `position` and undo what they changed."""
         while self.position > position:
             entry = self.entries.pop()
-            self._written_ms.pop()
+            self._append_times_ms.pop()
             for row, value, version in self._undo.pop():
                 self._set_row(row, value, version)
-            self._by_request.pop(entry["request_id"], None)
+            self._index_by_request.pop(entry["request_id"], None)
         self.condition.notify_all()
 
     def _set_row(self, row: str, value: Any, version: int) -> None:
@@ -155,10 +155,10 @@
             self.rows[row] = value
 
     def find_rewind(self, log_term: int, position: int) -> int | None:
-        """Return where a follower should cut its log, or None when it matches.
+        """Return the position to which a follower must cut its log, None if it matches.
 
-        No entry of the follower after that place can be in this log: terms never
-        fall along a log, and from there on this log's terms are higher.
+        None of the follower's entries after that position can be in this log: terms
+        never decrease along a log, and from there on this log's terms are higher.
         """
         if position == 0:
             return None
@@ -166,26 +166,27 @@
         if common == position and self.entries[position - 1]["term"] == log_term:
             return None
         by_term = itemgetter("term")
-        place = bisect_right(self.entries, log_term, hi=common, key=by_term)
-        return min(place, position - 1)
+        cut = bisect_right(self.entries, log_term, hi=common, key=by_term)
+        return min(cut, position - 1)
 
     def list_due(self, position: int, lag_ms: float) -> tuple[list[Entry], float]:
-        """Return the entries after `position` old enough, and the wait for more.
+        """Return the entries after `position` that are due, and the wait for the next.
 
-        The wait is in milliseconds, 0 when nothing further is in the log.
+        An entry is due when it is older than `lag_ms`. The wait is in milliseconds, 0
+        when the log has no further entry.
         """
         end = position
         stop = min(self.position, position + PULL_ENTRIES)
         limit_ms = self.clock.now_ms() - lag_ms
-        while end < stop and self._written_ms[end] <= limit_ms:
+        while end < stop and self._append_times_ms[end] <= limit_ms:
             end += 1
-        wait_ms = self._written_ms[end] - limit_ms if end < self.position else 0
+        wait_ms = self._append_times_ms[end] - limit_ms if end < self.position else 0
         return self.entries[position:end], wait_ms
 
     # Terms
 
-    def show_status(self) -> dict:
-        """Return what `status` answers."""
+    def make_status(self) -> dict:
+        """Return the fields of the answer to `status`."""
         return {
             "term": self.term,
             "role": self.role,
@@ -194,29 +195,29 @@
         }
 
     def fence(self, term: int) -> dict:
-        """Accept a greater term; stop being primary and following."""
+        """Accept a higher term; stop being primary, or following one."""
         if term <= self.term:
-            raise self._stale("a term as great was accepted before")
+            raise self._make_stale_term_error("a term as great was accepted before")
         self._change_role(term, REPLICA, None)
         return {"term": term, "log_term": self.log_term, "position": self.position}
 
     def promote(self, term: int) -> dict:
         """Become primary of the accepted term; a second call changes nothing."""
         if term != self.term:
-            raise self._stale("another term is accepted")
+            raise self._make_stale_term_error("another term is accepted")
         if self.role != PRIMARY:
             self._change_role(term, PRIMARY, None)
             entry = Entry(
                 term=term, kind="promote", request_id="", changes={}, value=None
             )
             self.append(entry)
-            self._promoted_at = self.position
-        return {"term": term, "position": self._promoted_at}
+            self._promotion_position = self.position
+        return {"term": term, "position": self._promotion_position}
 
     def follow(self, term: int, primary: Address) -> dict:
-        """Follow `primary` under a term not below the accepted one."""
+        """Follow `primary` under a term that is not below the accepted one."""
         if term < self.term:
-            raise self._stale("a greater term is accepted")
+            raise self._make_stale_term_error("a greater term is accepted")
         if (term, primary) != (self.term, self.primary):
             self._change_role(term, REPLICA, primary)
         return {"term": term}
@@ -231,7 +232,7 @@
         self._transactions.clear()
         self.condition.notify_all()
 
-    def _stale(self, message: str) -> RefusedError:
+    def _make_stale_term_error(self, message: str) -> RefusedError:
         return RefusedError("stale_term", message, self.term)
 
     def check_primary(self, term: int) -> None:
@@ -239,7 +240,7 @@
         if self.role != PRIMARY:
             raise RefusedError("not_primary", "this instance is a replica", self.term)
         if term != self.term:
-            raise self._stale("another term is accepted")
+            raise self._make_stale_term_error("another term is accepted")
 
     # Slots
 
@@ -250,20 +251,20 @@
         self.slots_used += 1
 
     def free_slot(self) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self.slots_used -= 1
 
     # Statements
 
-    def _end_of_log(self) -> dict:
+    def _log_end(self) -> dict:
         return {"log_term": self.log_term, "position": self.position}
 
     def read(self, statement: dict, transaction: Transaction | None) -> dict:
         """Answer a `get`, within the transaction if there is one."""
         if statement.get("verb") != "get":
             raise RefusedError("invalid_statement", "a read takes only 'get'")
-        value = self._read_row(name_row(statement), transaction)
-        return {"value": value, **self._end_of_log()}
+        value = self._read_row(get_row_name(statement), transaction)
+        return {"value": value, **self._log_end()}
 
     def _read_row(self, row: str, transaction: Transaction | None) -> Any:
         if transaction is None:
@@ -282,26 +283,28 @@
         request_id: str,
         transaction: Transaction | None,
     ) -> dict:
-        """Run a writing statement once, or hold it in the transaction."""
+        """Run a write once for each request id, or buffer it in the transaction."""
         if transaction is not None:
-            return self._hold(term, statement, transaction)
+            return self._buffer_write(term, statement, transaction)
         self.check_primary(term)
         recorded = self._find_recorded(request_id)
         if recorded is not None:
             value, duplicate = recorded["value"], True
         else:
-            row = name_row(statement)
-            value, new_value = compute(statement, self.rows.get(row))
+            row = get_row_name(statement)
+            value, new_value = compute_write(statement, self.rows.get(row))
             self._append_write(request_id, {row: new_value}, value)
             duplicate = False
-        return {"value": value, "duplicate": duplicate, **self._end_of_log()}
+        return {"value": value, "duplicate": duplicate, **self._log_end()}
 
-    def _hold(self, term: int, statement: dict, transaction: Transaction) -> dict:
-        row = name_row(statement)
+    def _buffer_write(
+        self, term: int, statement: dict, transaction: Transaction
+    ) -> dict:
+        row = get_row_name(statement)
         current = self._read_row(row, transaction)
         self.check_primary(term)
-        value, transaction.changes[row] = compute(statement, current)
-        return {"value": value, "duplicate": False, **self._end_of_log()}
+        value, transaction.changes[row] = compute_write(statement, current)
+        return {"value": value, "duplicate": False, **self._log_end()}
 
     def _append_write(self, request_id: str, changes: dict, value: Any) -> None:
         entry = Entry(
@@ -314,23 +317,23 @@
         self.append(entry)
 
     def _find_recorded(self, request_id: str) -> Entry | None:
-        place = self._by_request.get(request_id)
-        if place is None:
+        index = self._index_by_request.get(request_id)
+        if index is None:
             return None
-        entry = self.entries[place]
+        entry = self.entries[index]
         if entry["kind"] == "cancel":
             raise RefusedError("cancelled", "this request id was cancelled")
         return entry
 
     def settle(self, term: int, request_id: str) -> dict:
-        """Say whether the request ran; when it didn't, see that it never will."""
+        """Return whether the request ran; if not, cancel it so that it never will."""
         self.check_primary(term)
         try:
             recorded = self._find_recorded(request_id)
         except RefusedError:
-            return self._settled("cancelled", None, True)
+            return self._make_settle_answer("cancelled", None, True)
         if recorded is not None:
-            return self._settled("ran", recorded["value"], True)
+            return self._make_settle_answer("ran", recorded["value"], True)
         entry = Entry(
             term=self.term,
             kind="cancel",
@@ -339,11 +342,11 @@
             value=None,
         )
         self.append(entry)
-        return self._settled("cancelled", None, False)
+        return self._make_settle_answer("cancelled", None, False)
 
-    def _settled(self, outcome: str, value: Any, duplicate: bool) -> dict:
+    def _make_settle_answer(self, outcome: str, value: Any, duplicate: bool) -> dict:
         answer = {"outcome": outcome, "value": value, "duplicate": duplicate}
-        return {**answer, **self._end_of_log()}
+        return {**answer, **self._log_end()}
 
     # Transactions
 
@@ -357,12 +360,12 @@
     def commit(
         self, term: int, request_id: str, transaction: Transaction | None
     ) -> dict:
-        """Apply the transaction's changes all together, or raise RefusedError."""
+        """Apply the transaction's changes atomically, or raise RefusedError."""
         self.check_primary(term)
         recorded = self._find_recorded(request_id)
         if recorded is None:
             self._apply(request_id, transaction)
-        return {"duplicate": recorded is not None, **self._end_of_log()}
+        return {"duplicate": recorded is not None, **self._log_end()}
 
     def _apply(self, request_id: str, transaction: Transaction | None) -> None:
         if transaction is None or transaction.aborted:
@@ -372,7 +375,7 @@
                 raise RefusedError("conflict", f"row {row!r} was changed meanwhile")
         self._append_write(request_id, transaction.changes, None)
 
-    def drop(self, transaction: Transaction | None) -> None:
-        """Forget a transaction that has ended."""
+    def discard_transaction(self, transaction: Transaction | None) -> None:
+        """Remove a transaction that has ended."""
         if transaction is not None:
             self._transactions.discard(transaction)
--- a/standins/kvstore.py
+++ b/standins/kvstore.py
@@ -1,4 +1,4 @@
-"""The users' platform in one process: its store and its order to promote."""
+"""A stand-in for the users' platform: its key-value store and its promotion call."""
 
 import base64
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class StoredItem(NamedTuple):
-    """A key's value and its last change; a removed one has no value."""
+    """A key's value at a store revision; `data` is None if the key was removed."""
 
     key: str
     data: bytes | None
@@ -25,10 +25,11 @@
 class KvStore:
     """Keys with revisions and a history, on a port of its own.
 
-    Switches: `status` answers every call with it, `silent` answers none until it is
-    back, `drop_calls` never answers what arrives while it is set, on connections that
-    stay open, `lose_answers` drops the answers of that many changes after they were
-    made, `delay_ms` holds answers up.
+    Tests set its faults as attributes. `status`: every call is answered with this HTTP
+    status. `silent`: calls are answered only once it is unset. `drop_calls`: calls that
+    arrive while it is set are never answered, but their connections stay open.
+    `lose_answers`: the number of changes that are made but not answered. `delay_ms`:
+    the delay of each call.
     """
 
     def __init__(self, runtime: Runtime):
@@ -37,7 +38,7 @@
         self.items: dict[str, StoredItem] = {}
         self.history: list[StoredItem] = []
         self.revision = 7
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.status = 0
         self.silent = False
         self.drop_calls = False
@@ -59,7 +60,7 @@
         self._server.shutdown()
         self._server.server_close()
 
-    # What operators and instances write
+    # Writes of operators and instances
 
     def put(self, key: str, data: bytes) -> int:
         """Write a key as an operator or an instance does."""
@@ -76,9 +77,9 @@
             return self._apply({}, [key])
 
     def forget_history(self) -> None:
-        """Drop the history: watches from before are answered with 410."""
+        """Drop the history; watches from earlier revisions are answered with 410."""
         with self.condition:
-            self.forgotten = self.revision
+            self.compacted_revision = self.revision
             self.history = []
             self.condition.notify_all()
 
@@ -96,7 +97,7 @@
     # Calls
 
     def answer(self, method: str, path: str, body: bytes) -> tuple[int, Any]:
-        """Return the status and the body of an answer."""
+        """Return the HTTP status and the body of the answer to a call."""
         url = urlsplit(path)
         query = {key: values[0] for key, values in parse_qs(url.query).items()}
         self.calls.append(f"{method} {url.path}")
@@ -105,13 +106,13 @@
         if self.status:
             return self.status, {}
         routes: dict[str, Callable[[], tuple[int, Any]]] = {
-            "/-/kv-range": lambda: self._range(query),
+            "/-/kv-range": lambda: self._list_range(query),
             "/-/kv-watch": lambda: self._watch(query),
-            "/-/kv-txn": lambda: self._change(json.loads(body)),
+            "/-/kv-txn": lambda: self._compare_and_swap(json.loads(body)),
         }
         return routes[url.path]() if url.path in routes else (404, {})
 
-    def _show(self, item: StoredItem) -> dict[str, Any]:
+    def _encode_item(self, item: StoredItem) -> dict[str, Any]:
         if item.data is None:
             return {"key": item.key, "revision": item.revision, "deleted": True}
         data = base64.b64encode(item.data).decode()
@@ -123,21 +124,21 @@
             "lease_id": 0,
         }
 
-    def _range(self, query: dict[str, str]) -> tuple[int, Any]:
+    def _list_range(self, query: dict[str, str]) -> tuple[int, Any]:
         with self.condition:
             prefix, after = query.get("prefix", ""), query.get("after", "")
             keys = sorted(
                 key for key in self.items if key.startswith(prefix) and key > after
             )
-            items = [self._show(self.items[key]) for key in keys[:PAGE_ITEMS]]
-            more = len(keys) > PAGE_ITEMS
-            return 200, {"items": items, "has_more": more, "at": self.revision}
+            items = [self._encode_item(self.items[key]) for key in keys[:PAGE_ITEMS]]
+            has_more = len(keys) > PAGE_ITEMS
+            return 200, {"items": items, "has_more": has_more, "at": self.revision}
 
     def _watch(self, query: dict[str, str]) -> tuple[int, Any]:
         after = int(query["after"])
         prefix = query.get("prefix", "")
 
-        def find() -> list[StoredItem]:
+        def list_events() -> list[StoredItem]:
             return [
                 item
                 for item in self.history
@@ -147,19 +148,19 @@
         with self.condition:
             self.runtime.wait_for(
                 self.condition,
-                lambda: find() or after < self.forgotten,
+                lambda: list_events() or after < self.compacted_revision,
                 float(query["wait_ms"]),
             )
-            if after < self.forgotten:
+            if after < self.compacted_revision:
                 return 410, {}
-            events = [self._show(item) for item in find()]
+            events = [self._encode_item(item) for item in list_events()]
             return 200, {"events": events, "at": self.revision}
 
-    def _change(self, body: dict[str, Any]) -> tuple[int, Any]:
+    def _compare_and_swap(self, body: dict[str, Any]) -> tuple[int, Any]:
         with self.condition:
             for row in body["precondition"]:
-                known = self.items.get(row["key"])
-                if (known.revision if known else 0) != row["revision"]:
+                current = self.items.get(row["key"])
+                if (current.revision if current else 0) != row["revision"]:
                     return 412, {"items": []}
             puts = {
                 row["key"]: base64.b64decode(row["data"], validate=True)
@@ -172,10 +173,10 @@
             return 200, {"revision": revision}
 
     def promote(self, body: bytes, holder: str, epoch: int) -> int:
-        """Return the status of an order to promote."""
-        order = json.loads(body)
-        group = self.groups.get(order["service"])
-        done = group is not None and group.promote(order["id"], holder, epoch)
+        """Promote an instance as the request says; return the HTTP status."""
+        request = json.loads(body)
+        group = self.groups.get(request["service"])
+        done = group is not None and group.promote(request["id"], holder, epoch)
         return 200 if done else 409
 
     def _make_handler(self) -> type[BaseHTTPRequestHandler]:
@@ -192,8 +193,8 @@
 
             def _serve(self, method: str) -> None:
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-                swallowed = store.drop_calls
-                while store.silent or swallowed:
+                dropped = store.drop_calls
+                while store.silent or dropped:
                     if not store.runtime.sleep_ms(10):
                         return
                 if self.path == "/failover":
@@ -211,11 +212,11 @@
                 self.send_response(status)
                 self.send_header("Content-Length", str(len(data)))
                 self.end_headers()
-                # Whoever asked may have gone, as a stopped daemon has.
+                # The caller may have disconnected, as a daemon does that stops.
                 with contextlib.suppress(OSError):
                     self.wfile.write(data)
 
             def log_message(self, *_: object) -> None:
-                """Keep the test's output free of a line for each call."""
+                """Log nothing: a line for each call would clutter the tests' output."""
 
         return Handler
--- a/standins/messages.py
+++ b/standins/messages.py
@@ -1,4 +1,4 @@
-"""The requests of the endpoint protocol, and what a connection carries."""
+"""The requests of the endpoint protocol, and the state of a connection."""
 
 from typing import Any, Literal, NamedTuple, TypedDict
 
@@ -18,7 +18,10 @@
 
 
 class EndpointSettings(NamedTuple):
-    """How an endpoint starts; without term and primary it waits for a fence."""
+    """How an endpoint starts.
+
+    Without `primary_term` and `follow` it has no part in the group until it is fenced.
+    """
 
     name: str
     group: str
@@ -33,7 +36,7 @@
 
 
 class Request(TypedDict, total=False):
-    """Any request, as it comes over the wire."""
+    """The fields of all requests, as they come over the wire."""
 
     id: int
     op: str
@@ -62,7 +65,7 @@
 
 
 class Session:
-    """What the endpoint knows of one connection."""
+    """The endpoint's state of one connection."""
 
     def __init__(self, connection: Connection):
         self.connection = connection
--- a/standins/operations.py
+++ b/standins/operations.py
@@ -1,4 +1,4 @@
-"""What the endpoint stand-in does for each op of work and monitor connections."""
+"""The handlers of an endpoint stand-in for the ops of work and monitor connections."""
 
 from collections.abc import Callable
 
@@ -9,12 +9,12 @@
 from standins.messages import EndpointSettings, Request, Session
 
 WAIT_LIMIT_MS = 30_000
-# A pull that waits for the lag to pass looks this often for a change of role.
+# How often a pull that waits for the lag to pass checks for a change of role.
 PULL_SLICE_MS = 50
 
 
 class Operations:
-    """One handler for each op, around one instance and its faults."""
+    """One handler for each op, with the instance and faults that they work on."""
 
     def __init__(self, runtime: Runtime, settings: EndpointSettings):
         self.runtime = runtime
@@ -40,8 +40,8 @@
             "rollback": self._rollback,
         }
 
-    def take_first_role(self) -> None:
-        """Become what the settings say: primary, replica or neither."""
+    def take_initial_role(self) -> None:
+        """Take the role from the settings: primary, replica or neither."""
         with self.condition:
             if self.settings.primary_term:
                 self.instance.term = self.settings.primary_term
@@ -50,14 +50,14 @@
                 self._start_following(1, self.settings.follow)
 
     def stop(self) -> None:
-        """End every wait and the pull."""
+        """Wake every waiting task, and end the pull."""
         with self.condition:
             self.stopped = True
             self.condition.notify_all()
         self._close_pull()
 
     def await_thaw(self) -> None:
-        """Wait, the condition held, while the instance is frozen."""
+        """Wait while the instance is frozen; the caller holds the condition."""
         while self.faults.frozen and not self.stopped:
             self.runtime.wait_for(
                 self.condition,
@@ -65,23 +65,23 @@
                 WAIT_LIMIT_MS,
             )
 
-    # What monitors ask
+    # Ops of monitor connections
 
     def answer_status(self, session: Session, request: Request) -> dict:
-        """Return the status, after the wait that the request allows."""
+        """Return the status once it differs from the known one, or after the wait."""
         wait_ms = min(request.get("wait_ms", 0), WAIT_LIMIT_MS)
         instance = self.instance
 
         def differs() -> bool:
             known_term = request.get("known_term", instance.term)
             known_position = request.get("known_position", instance.position)
-            # A log that was cut and has grown again to the known position differs
-            # only in its last term; a caller that waits for a majority at that
-            # term would wait out the whole poll.
+            # A log that was cut and has grown again to the known position differs only
+            # in its last term. A caller that waits for a majority at that term would
+            # otherwise have to wait for the poll to time out.
             return (
                 self.stopped
                 or (known_term, known_position) != (instance.term, instance.position)
-                or session.last_status not in (None, instance.show_status())
+                or session.last_status not in (None, instance.make_status())
             )
 
         with self.condition:
@@ -89,7 +89,7 @@
                 self.runtime.wait_for(self.condition, differs, wait_ms)
             if session.kind != "admin":
                 self.await_thaw()
-            session.last_status = instance.show_status()
+            session.last_status = instance.make_status()
             return session.last_status
 
     def _fence(self, session: Session, request: Request) -> dict:
@@ -127,8 +127,8 @@
         if connection is not None:
             connection.close()
 
-    def keep_pull_connection(self, connection: Connection) -> None:
-        """Remember the connection to the primary, to close it at a fence."""
+    def set_pull_connection(self, connection: Connection) -> None:
+        """Store the connection to the primary, which a fence closes."""
         self._pull_connection = connection
 
     def _answer_pull(self, session: Session, request: Request) -> dict:
@@ -145,16 +145,16 @@
                 if rewind is not None:
                     return {"rewind": True, "position": rewind}
                 entries, due_ms = instance.list_due(position, lag_ms)
-                left_ms = end_ms - clock.now_ms()
-                if entries or left_ms <= 0 or self.stopped:
+                remaining_ms = end_ms - clock.now_ms()
+                if entries or remaining_ms <= 0 or self.stopped:
                     return {"entries": entries}
                 if not due_ms:
-                    self._await_entry(position, left_ms)
-            # New writes would wake a wait on the condition for nothing.
-            self.runtime.sleep_ms(min(due_ms, left_ms, PULL_SLICE_MS))
+                    self._await_entry(position, remaining_ms)
+            # A wait on the condition would be woken by every new write, in vain.
+            self.runtime.sleep_ms(min(due_ms, remaining_ms, PULL_SLICE_MS))
 
     def _await_entry(self, position: int, timeout_ms: float) -> None:
-        """Wait, the condition held, for an entry after `position`."""
+        """Wait for an entry after `position`; the caller holds the condition."""
         instance = self.instance
         generation = instance.generation
         self.runtime.wait_for(
@@ -167,16 +167,16 @@
             timeout_ms,
         )
 
-    # What work connections ask
+    # Ops of work connections
 
-    def _occupy_slot(
+    def _run_in_slot(
         self, session: Session, request: Request, function: Callable[[], dict]
     ) -> dict:
-        """Run `function` at the end of its service time, in a slot.
+        """Hold a slot for the service time, then run `function`.
 
-        Term and role are checked at the end, under the condition: a fence that
-        comes in during the service time, or while the process was stopped, must
-        keep the write out.
+        `function` checks term and role, with the condition held, only at the end: a
+        fence that arrives during the service time, or while the process is stopped,
+        must make a write fail.
         """
         with self.condition:
             self.instance.take_slot()
@@ -184,12 +184,12 @@
             self.runtime.clock.sleep_ms(self.service_ms)
             with self.condition:
                 self.await_thaw()
-                return self._record(session, request, function)
+                return self._run_and_record(session, request, function)
         finally:
             with self.condition:
                 self.instance.free_slot()
 
-    def _record(
+    def _run_and_record(
         self, session: Session, request: Request, function: Callable[[], dict]
     ) -> dict:
         outcome = "failed"
@@ -220,7 +220,7 @@
     def _read(self, session: Session, request: Request) -> dict:
         statement = request["statement"]
         request["workspace"]
-        return self._occupy_slot(
+        return self._run_in_slot(
             session,
             request,
             lambda: self.instance.read(statement, session.transaction),
@@ -231,7 +231,7 @@
         statement = request["statement"]
         request_id = request["request_id"]
         request["workspace"]
-        return self._occupy_slot(
+        return self._run_in_slot(
             session,
             request,
             lambda: self.instance.write(
@@ -242,7 +242,7 @@
     def _settle(self, session: Session, request: Request) -> dict:
         term = request["term"]
         request_id = request["request_id"]
-        return self._occupy_slot(
+        return self._run_in_slot(
             session, request, lambda: self.instance.settle(term, request_id)
         )
 
@@ -263,7 +263,7 @@
             return self.instance.commit(term, request_id, session.transaction)
 
         try:
-            answer = self._occupy_slot(session, request, commit)
+            answer = self._run_in_slot(session, request, commit)
         except RefusedError as error:
             if error.error != "busy":
                 self._drop_transaction(session)
@@ -277,5 +277,5 @@
 
     def _drop_transaction(self, session: Session) -> None:
         with self.condition:
-            self.instance.drop(session.transaction)
+            self.instance.discard_transaction(session.transaction)
             session.transaction = None
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from bronzerelay.runtime import Address, Connection, Runtime, parse_address
-from standins.store import ABSENT, Entry, LeaseLapsedError, Store, ValueTooLargeError
+from standins.store import ABSENT, Entry, LeaseExpiredError, Store, ValueTooLargeError
 
 MAX_BODY_BYTES = 2 * 1024 * 1024
 TASK_LIMIT = 4096
-# How often a task that gives no answer looks whether its caller is still there.
-LOOK_MS = 50
+# How often a task that withholds an answer checks that its caller is still connected.
+CALLER_CHECK_MS = 50
 ALL_CALLERS = ""
 
 UP = "up"
@@ -66,7 +66,7 @@
 
 
 class FaultBody(TypedDict):
-    """The body of a change of the faults; `callers` left out says all."""
+    """The body of a request that sets a fault; without `callers` it is for all."""
 
     mode: Literal["up", "down", "refuse", "slow", "lose_answers"]
     delay_ms: NotRequired[float]
@@ -75,7 +75,7 @@
 
 
 class Fault(NamedTuple):
-    """What goes wrong, for the next `count` requests or until it is changed."""
+    """A fault that applies to the next `count` requests, or until it is changed."""
 
     mode: str
     delay_ms: float = 0
@@ -93,20 +93,20 @@
     keep_alive: bool
 
     @property
-    def watches(self) -> bool:
+    def is_watch(self) -> bool:
         """Whether the request waits for a change."""
         return self.method == "GET" and "wait_ms" in self.query
 
 
 class Answer(NamedTuple):
-    """A status and a body for JSON; None sends no body."""
+    """A status, and a body that is sent as JSON; None sends no body."""
 
     status: int
     body: Any = None
 
 
 class RequestReader:
-    """Collects what httptools finds in the bytes of one connection."""
+    """Collects the requests that httptools parses from one connection's bytes."""
 
     def __init__(self):
         self.requests: list[Request] = []
@@ -114,7 +114,7 @@
         self.on_message_begin()
 
     def feed(self, data: bytes) -> None:
-        """Take in the next bytes; whole requests are added to `requests`."""
+        """Parse the next bytes; complete requests are added to `requests`."""
         self._parser.feed_data(data)
 
     def on_message_begin(self) -> None:
@@ -124,20 +124,20 @@
         self._body: list[bytes] = []
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the URL."""
+        """Append a part of the URL."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Keep the caller's name if this header has it."""
         if name.lower() == b"x-caller":
             self._caller = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """End a request."""
+        """Add the complete request to `requests`."""
         url = httptools.parse_url(self._url)
         query = parse_qs((url.query or b"").decode("latin-1"), keep_blank_values=True)
         request = Request(
@@ -152,7 +152,7 @@
 
 
 class PlatformServer:
-    """The HTTP side of the stand-in, with its faults and its counts of calls.
+    """The HTTP server of the stand-in, with its faults and its counts of calls.
 
     Give several servers the same `store` to have several addresses of one platform.
     """
@@ -186,7 +186,7 @@
         )
 
     def start(self) -> None:
-        """Begin to take connections."""
+        """Begin to accept connections."""
         self._runtime.start(self._accept)
 
     def stop(self) -> None:
@@ -206,7 +206,7 @@
         callers: tuple[str, ...] = (),
         count: int | None = None,
     ) -> None:
-        """Set what goes wrong for the named callers; no names say all of them."""
+        """Set the fault for the named callers, or for all callers without names."""
         with self._lock:
             self._fault_changes += 1
             if not callers:
@@ -215,7 +215,7 @@
                 self._faults[caller] = Fault(mode, delay_ms, count)
 
     def count_calls(self) -> dict[str, Any]:
-        """Return how many reads, writes and watches have arrived, and from whom."""
+        """Return the numbers of reads, writes, watches, and of each caller's calls."""
         with self._lock:
             kinds = {kind: self._calls[kind] for kind in ("reads", "writes", "watches")}
             return {**kinds, "by_caller": dict(self._callers)}
@@ -252,9 +252,9 @@
             reader.feed(data)
         request = reader.requests.pop(0)
         if request.path.startswith("/admin/"):
-            answer = self._run(request)
+            answer = self._dispatch(request)
         else:
-            answer = self._run_with_faults(request, connection)
+            answer = self._dispatch_with_faults(request, connection)
         if answer is None:
             return False
         connection.send(encode_answer(answer))
@@ -262,28 +262,28 @@
 
     # Faults
 
-    def _run_with_faults(
+    def _dispatch_with_faults(
         self, request: Request, connection: Connection
     ) -> Answer | None:
         """Return the answer, or None when the connection is to close without one."""
-        self._count(request)
+        self._count_call(request)
         fault = self._take_fault(request.caller)
         if fault.mode == DOWN:
-            self._hold(connection)
+            self._withhold_answer(connection)
             return None
         if fault.mode == REFUSE:
             return Answer(503, {"error": "refused"})
         if fault.mode == SLOW:
             self._runtime.sleep_ms(fault.delay_ms)
-        answer = self._run(request)
-        # A watch that waited while the outage began gets no answer either.
-        if request.watches and self._peek_fault(request.caller).mode == DOWN:
-            self._hold(connection)
+        answer = self._dispatch(request)
+        # A watch that was waiting when the outage began gets no answer either.
+        if request.is_watch and self._peek_fault(request.caller).mode == DOWN:
+            self._withhold_answer(connection)
             return None
         return None if fault.mode == LOSE_ANSWERS else answer
 
-    def _count(self, request: Request) -> None:
-        kind = "watches" if request.watches else "writes"
+    def _count_call(self, request: Request) -> None:
+        kind = "watches" if request.is_watch else "writes"
         if kind == "writes" and request.method == "GET":
             kind = "reads"
         with self._lock:
@@ -300,22 +300,22 @@
             return self._find_fault(caller)[1]
 
     def _take_fault(self, caller: str) -> Fault:
-        """Return the fault of this request, and count it."""
+        """Return the fault that applies to this request, and count the request."""
         with self._lock:
             name, fault = self._find_fault(caller)
             if fault.count is not None:
                 self._faults[name] = fault._replace(count=fault.count - 1)
             return fault
 
-    def _hold(self, connection: Connection) -> None:
-        """Give no answer until the caller goes away or the faults are changed.
+    def _withhold_answer(self, connection: Connection) -> None:
+        """Wait without an answer until the caller disconnects or the faults change.
 
-        Without the look at the connection each caller's retry would leave a task
-        behind, and a long outage would use all of them up.
+        Without the check of the connection, each retry of a caller would leave a task
+        behind, and a long outage would exhaust the task limit.
         """
         with self._lock:
             changes = self._fault_changes
-        connection.set_timeout(LOOK_MS)
+        connection.set_timeout(CALLER_CHECK_MS)
         while self._fault_changes == changes and not self._stopping:
             try:
                 if not connection.receive():
@@ -325,7 +325,7 @@
 
     # Requests
 
-    def _run(self, request: Request) -> Answer:
+    def _dispatch(self, request: Request) -> Answer:
         for method, prefix, handle in self._routes:
             rest = request.path.removeprefix(prefix)
             matches = rest if prefix.endswith("/") else request.path == prefix
@@ -342,13 +342,13 @@
             return handle(request, rest)
         except ValueTooLargeError:
             return Answer(413, {"error": "value too large"})
-        except LeaseLapsedError:
+        except LeaseExpiredError:
             return Answer(404, {"error": "lease lapsed"})
         except (KeyError, ValueError, msgspec.MsgspecError) as error:
             return Answer(400, {"error": str(error)})
 
     def _get(self, request: Request, key: str) -> Answer:
-        if not request.watches:
+        if not request.is_watch:
             entry: Entry | None = self.store.get(key)
         else:
             after = int(request.query.get("after", "0"))
@@ -357,7 +357,7 @@
             return Answer(204)
         if entry is ABSENT:
             return Answer(404, {"error": "absent"})
-        return Answer(200, show_entry(entry))
+        return Answer(200, make_entry_body(entry))
 
     def _put(self, request: Request, key: str) -> Answer:
         body = msgspec.json.decode(request.body, type=PutBody)
@@ -365,13 +365,13 @@
             key, body["value"], body["expected_revision"], body.get("lease")
         )
         if not stored:
-            return Answer(409, show_entry(entry))
+            return Answer(409, make_entry_body(entry))
         return Answer(200, {"revision": entry.revision})
 
     def _delete(self, request: Request, key: str) -> Answer:
         expected = int(request.query["expected_revision"])
         deleted, entry = self.store.delete(key, expected)
-        return Answer(200, {}) if deleted else Answer(409, show_entry(entry))
+        return Answer(200, {}) if deleted else Answer(409, make_entry_body(entry))
 
     def _list_keys(self, request: Request, _: str) -> Answer:
         return Answer(200, {"keys": self.store.list_keys(request.query["prefix"])})
@@ -413,8 +413,8 @@
         return Answer(200, self.count_calls())
 
 
-def show_entry(entry: Entry) -> dict[str, Any]:
-    """Return the entry as answers show it."""
+def make_entry_body(entry: Entry) -> dict[str, Any]:
+    """Return the body of an answer that holds the entry."""
     return {"value": entry.value, "revision": entry.revision}
 
 
--- a/standins/platformadmin.py
+++ b/standins/platformadmin.py
@@ -1,4 +1,4 @@
-"""Values and faults of the platform, set as tests need them."""
+"""A client for the values, the VM list and the faults of the platform stand-in."""
 
 from typing import Any
 
@@ -12,17 +12,20 @@
 
 
 class AdminError(Exception):
-    """The platform refused a fault or a change, or gave no answer."""
+    """The platform refused a call or gave no answer."""
 
 
 class PlatformAdmin:
-    """Reads and writes of the platform that no fault may hit, and its faults."""
+    """Reads and changes what the platform holds, and sets its faults.
+
+    Its calls have a caller name of their own, so faults for named daemons spare them.
+    """
 
     def __init__(self, runtime: Runtime, address: Address):
         self._pool = runtime.open_http_pool(address, pool_size=2)
 
     def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Return status and decoded body; raise AdminError when none comes."""
+        """Return status and decoded body; raise AdminError when no answer comes."""
         try:
             response = self._pool.request(
                 method,
@@ -37,7 +40,7 @@
         return response.status, msgspec.json.decode(data) if data else None
 
     def check_call(self, method: str, path: str, body: Any = None) -> Any:
-        """Return the decoded body of an answer 200; raise AdminError on others."""
+        """Return the decoded body; raise AdminError on another status than 200."""
         status, answer = self.call(method, path, body)
         if status != 200:
             raise AdminError(f"{method} {path} was answered {status}: {answer}")
@@ -48,11 +51,11 @@
         self.check_call("POST", "/admin/vms", {"name": name, "state": state})
 
     def set_fault(self, mode: str, **fields: Any) -> None:
-        """Set a fault, with `delay_ms`, `callers` and `count` as PLATFORM.md says."""
+        """Set a fault; PLATFORM.md describes `delay_ms`, `callers` and `count`."""
         self.check_call("POST", "/admin/faults", {"mode": mode, **fields})
 
     def count_calls(self) -> dict[str, Any]:
-        """Return how many calls the platform had, in all and by caller."""
+        """Return how many calls the platform has had, by kind and by caller."""
         return self.check_call("GET", "/admin/calls")
 
     def read_value(self, key: str) -> tuple[Any, int]:
@@ -65,6 +68,9 @@
         return answer["value"], answer["revision"]
 
     def write_value(self, key: str, value: Any, expected_revision: int) -> int:
-        """Return the new revision; raise AdminError when another write was first."""
+        """Write a value and return its new revision.
+
+        Raise AdminError when the key isn't at `expected_revision`.
+        """
         body = {"value": value, "expected_revision": expected_revision}
         return self.check_call("PUT", f"/v1/values/{key}", body)["revision"]
--- a/standins/store.py
+++ b/standins/store.py
@@ -18,14 +18,14 @@
 
 
 class Lease(NamedTuple):
-    """A lease that lapses at `end_ms` unless it is renewed."""
+    """A lease that expires at `end_ms` unless it is renewed."""
 
     ttl_ms: float
     end_ms: float
 
 
 class VmChange(NamedTuple):
-    """A change of the VM list that is seen from `visible_ms` on."""
+    """A change of the VM list that becomes visible at `visible_ms`."""
 
     visible_ms: float
     name: str
@@ -36,18 +36,18 @@
 
 
 class ValueTooLargeError(ValueError):
-    """The value is larger than the service holds."""
+    """The value is larger than MAX_VALUE_BYTES."""
 
 
-class LeaseLapsedError(LookupError):
-    """The lease has lapsed or never was."""
+class LeaseExpiredError(LookupError):
+    """The lease has expired or never existed."""
 
 
 class Store:
     """Values with revisions, leases and VMs; several servers may share one.
 
-    No task runs in it: leases lapse when the next call looks at the clock, and a
-    watch wakes at the end of the next lease to look.
+    It runs no task of its own: each call removes the leases that have expired by then,
+    and a watch wakes up when the next lease expires.
     """
 
     def __init__(self, runtime: Runtime, vm_lag_ms: float):
@@ -72,7 +72,7 @@
     def get(self, key: str) -> Entry:
         """Return the entry of `key`, or ABSENT."""
         with self._changed:
-            self._end_leases()
+            self._expire_leases()
             return self._entries.get(key, ABSENT)
 
     def watch(self, key: str, after: int, wait_ms: float) -> Entry | None:
@@ -84,7 +84,7 @@
         end_ms = self._runtime.clock.now_ms() + wait_ms
         with self._changed:
             while True:
-                self._end_leases()
+                self._expire_leases()
                 entry = self._entries.get(key, ABSENT)
                 if entry.revision > after or (entry is ABSENT and after > 0):
                     return entry
@@ -97,25 +97,25 @@
     def list_keys(self, prefix: str) -> list[str]:
         """Return the sorted keys that start with `prefix`."""
         with self._changed:
-            self._end_leases()
+            self._expire_leases()
             return sorted(key for key in self._entries if key.startswith(prefix))
 
     def put(
         self, key: str, value: Any, expected: int, lease: str | None = None
     ) -> tuple[bool, Entry]:
-        """Store `value` when the revision is `expected`; return whether it was.
+        """Store `value` if the revision of `key` is `expected`.
 
-        The second item is the entry that holds afterwards.
+        Return whether it was stored, and the entry of the key after the call.
         """
         if len(msgspec.json.encode(value)) > MAX_VALUE_BYTES:
             raise ValueTooLargeError
         with self._changed:
-            self._end_leases()
-            found = self._entries.get(key, ABSENT)
-            if found.revision != expected:
-                return False, found
+            self._expire_leases()
+            current = self._entries.get(key, ABSENT)
+            if current.revision != expected:
+                return False, current
             if lease is not None and lease not in self._leases:
-                raise LeaseLapsedError
+                raise LeaseExpiredError
             self._revision += 1
             entry = Entry(value, self._revision, lease)
             self._entries[key] = entry
@@ -123,13 +123,13 @@
             return True, entry
 
     def delete(self, key: str, expected: int) -> tuple[bool, Entry]:
-        """Delete `key` when its revision is `expected`; return as `put` does."""
+        """Delete `key` if its revision is `expected`; return the same as `put`."""
         with self._changed:
-            self._end_leases()
-            found = self._entries.get(key, ABSENT)
-            if found.revision != expected or found is ABSENT:
-                return False, found
-            self._drop(key)
+            self._expire_leases()
+            current = self._entries.get(key, ABSENT)
+            if current.revision != expected or current is ABSENT:
+                return False, current
+            self._delete_entry(key)
             return True, ABSENT
 
     # Leases
@@ -141,39 +141,39 @@
             lease = f"lease-{self._lease_count}"
             end_ms = self._runtime.clock.now_ms() + ttl_ms
             self._leases[lease] = Lease(ttl_ms, end_ms)
-            # Watches wait for the end of the leases that they know of.
+            # A watch sleeps until the end of the leases that it has seen.
             self._changed.notify_all()
             return lease
 
     def renew_lease(self, lease: str) -> None:
-        """Let the lease run its whole time again, or raise LeaseLapsedError."""
+        """Extend the lease by its full TTL from now, or raise LeaseExpiredError."""
         with self._changed:
-            self._end_leases()
+            self._expire_leases()
             if lease not in self._leases:
-                raise LeaseLapsedError
+                raise LeaseExpiredError
             ttl_ms = self._leases[lease].ttl_ms
             end_ms = self._runtime.clock.now_ms() + ttl_ms
             self._leases[lease] = Lease(ttl_ms, end_ms)
 
     def end_lease(self, lease: str) -> None:
-        """End the lease, and delete the keys under it."""
+        """End the lease, and delete the keys that are bound to it."""
         with self._changed:
-            self._drop_lease(lease)
+            self._delete_lease(lease)
 
-    def _end_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now_ms = self._runtime.clock.now_ms()
-        lapsed = [
+        expired = [
             name for name, lease in self._leases.items() if lease.end_ms <= now_ms
         ]
-        for lease in lapsed:
-            self._drop_lease(lease)
+        for lease in expired:
+            self._delete_lease(lease)
 
-    def _drop_lease(self, lease: str) -> None:
+    def _delete_lease(self, lease: str) -> None:
         self._leases.pop(lease, None)
         for key in [key for key, e in self._entries.items() if e.lease == lease]:
-            self._drop(key)
+            self._delete_entry(key)
 
-    def _drop(self, key: str) -> None:
+    def _delete_entry(self, key: str) -> None:
         del self._entries[key]
         self._revision += 1
         self._changed.notify_all()
@@ -181,13 +181,13 @@
     # VMs
 
     def set_vm(self, name: str, state: str) -> None:
-        """Set a VM to `live`, `leaving` or `gone`; the list shows it later."""
+        """Set a VM to `live`, `leaving` or `gone`; the list shows it after its lag."""
         with self._changed:
             visible_ms = self._runtime.clock.now_ms() + self._vm_lag_ms
             self._vm_changes.append(VmChange(visible_ms, name, state))
 
     def list_vms(self) -> tuple[int, dict[str, str]]:
-        """Return the list's revision and each VM's state, as old as the lag."""
+        """Return the revision of the VM list and each VM's state, as of the lag ago."""
         now_ms = self._runtime.clock.now_ms()
         states: dict[str, str] = {}
         revision = 0
--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -11,7 +11,7 @@
 
 
 class Platform(NamedTuple):
-    """A running stand-in and the runtime that it shares with the test."""
+    """A running platform stand-in and the runtime that it shares with the test."""
 
     runtime: Runtime
     server: PlatformServer
@@ -35,7 +35,7 @@
 def run_platform(
     store_class: type[Store] = Store, vm_lag_ms: float = 0
 ) -> Iterator[Platform]:
-    """Run a stand-in until the block ends."""
+    """Run a platform stand-in until the block ends."""
     runtime = Runtime(task_limit=64)
     store = store_class(runtime, vm_lag_ms)
     server = PlatformServer(runtime, PlatformSettings(), store)
@@ -48,7 +48,7 @@
 
 
 def find_free_address(runtime: Runtime) -> Address:
-    """Return an address where nobody listens."""
+    """Return an address on which nothing listens."""
     listener = runtime.listen(Address("127.0.0.1", 0))
     listener.close()
     return listener.address
--- a/tests/test_standin_endpoint.py
+++ b/tests/test_standin_endpoint.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoint stand-in."""
+"""Tests of the endpoint stand-in's ops, faults and replication."""
 
 import signal
 import subprocess
@@ -28,7 +28,7 @@
 
 
 def start_write(group, link, request_id, statement):
-    """Return the future of a write, once it is in a slot."""
+    """Return the future of a write once the write occupies a slot."""
     future = group.runtime.start(write, link, request_id, statement)
     wait_until(group.runtime, lambda: group.instance("orders-1").slots_used == 1)
     return future
@@ -51,8 +51,8 @@
 
 
 def test_only_one_of_two_fences_with_one_term_is_accepted():
-    """Two daemons suspect the primary at the same moment and fence with the same
-    term. If both were accepted, both would promote and writes would be lost.
+    """Two daemons suspect the primary at the same time and fence with the same term.
+    If both fences were accepted, both would promote, and writes would be lost.
     """
     with open_group() as group:
         first = group.link("orders-2", "monitor")
@@ -66,9 +66,9 @@
         assert second.promote(1, T).error.kind == "stale_term"
 
 
-def test_a_fence_keeps_out_a_write_that_is_being_served():
-    """A primary is replaced while a write is in one of its slots. A caller who
-    was told that it ran would find it gone after the failover.
+def test_a_fence_rejects_a_write_that_is_in_progress():
+    """A primary is replaced while a write occupies one of its slots. If the write were
+    acknowledged, the caller would find it lost after the failover.
     """
     with open_group(service_ms=LONG_SERVICE_MS) as group:
         link = group.link("orders-1")
@@ -78,9 +78,10 @@
         assert [entry["kind"] for entry in group.entries("orders-1")] == ["promote"]
 
 
-def test_a_replaced_primary_drops_what_only_it_had():
-    """A primary that is cut off goes on writing while another is promoted. When
-    it comes back its own rows must go, or its readers see orders that never were.
+def test_a_replaced_primary_drops_its_unreplicated_entries():
+    """A primary that is cut off goes on writing while another is promoted. When it
+    follows the new one, its unreplicated entries must go, or its readers would see rows
+    that no other instance has.
     """
     with open_group() as group:
         old = group.link("orders-1")
@@ -106,8 +107,9 @@
 
 
 def test_a_pull_answered_before_the_fence_is_dropped_after_it():
-    """A replica freezes with entries on their way to it and is fenced when it
-    thaws. Taking them in behind the fence would change the position it reported.
+    """A replica freezes while a pull is in progress and is fenced when it thaws. If it
+    appended the pulled entries after the fence, its log would no longer end at the
+    position that it reported to the fence.
     """
     with open_group() as group:
         group.wait_equal_logs("orders-1", "orders-2")
@@ -123,9 +125,9 @@
         assert instance.position == 1
 
 
-def test_a_frozen_instance_answers_admins_only_and_runs_the_rest_at_the_thaw():
-    """An instance stops for seconds and then goes on with what had arrived. The
-    caller timed out in between, so a write may have run though nobody was told.
+def test_a_frozen_instance_answers_only_admins_and_runs_the_rest_after_the_thaw():
+    """An instance freezes, and runs the requests that it has received after the thaw.
+    A caller that timed out meanwhile can't know whether its write ran.
     """
     with open_group() as group:
         link = group.link("orders-1")
@@ -140,8 +142,8 @@
 
 
 def test_messages_from_a_cut_caller_have_no_effect():
-    """A partition lies between one daemon and the instance. The daemon gets no
-    answer, and after the heal nothing of what it sent has happened.
+    """A network partition separates one daemon from the instance. The daemon gets no
+    answer, and nothing that it sent takes effect after the partition has healed.
     """
     with open_group() as group:
         link = group.link("orders-1")
@@ -152,9 +154,9 @@
         assert read_value(group.link("orders-1"), "tray") is None
 
 
-def test_a_settle_tells_apart_an_answer_lost_after_and_before_the_effect():
-    """The connection ends without an answer, once after the write and once
-    before it. Only the endpoint knows which, and says so when asked.
+def test_a_settle_tells_whether_a_write_without_an_answer_ran():
+    """A connection closes without an answer, once after the write has run and once
+    before. Only the endpoint knows which, and a settle has to report it.
     """
     with open_group() as group:
         for request_id, outcome in (("after", "ran"), ("before", "cancelled")):
@@ -169,8 +171,8 @@
 
 
 def test_a_write_that_ends_after_its_settle_does_not_run():
-    """A write is held up on its way and its outcome is settled meanwhile. If it
-    still ran, the caller who was told "not run" would order forty lunches twice.
+    """A write is still being served when a settle cancels it. If it ran nevertheless,
+    a caller that was told "not run" would send it again and it would run twice.
     """
     with open_group(service_ms=LONG_SERVICE_MS) as group:
         late, prompt = group.link("orders-1"), group.link("orders-1")
@@ -182,9 +184,10 @@
         group.wait_equal_logs("orders-1", "orders-2", "orders-3")
 
 
-def test_a_connection_too_many_is_turned_away_until_one_ends():
-    """More daemons connect than the instance takes. One too many is told so at
-    once, and monitors still get in, or nobody could order a promotion.
+def test_a_connection_over_the_limit_is_refused_until_another_closes():
+    """Daemons open more work connections than the instance allows. The surplus is
+    refused at once, but monitor connections are not limited: without them no daemon
+    could promote the instance.
     """
     with open_group(connections=2) as group:
         links = [group.link("orders-1"), group.link("orders-1")]
@@ -195,8 +198,8 @@
 
 
 def test_a_request_without_a_slot_is_busy_and_does_not_run():
-    """Every slot is taken when one more write comes. It is refused and leaves
-    nothing behind.
+    """All slots are taken when another write arrives. It is refused as busy, does not
+    run and is not recorded.
     """
     with open_group(slots=1, service_ms=LONG_SERVICE_MS) as group:
         links = [group.link("orders-1"), group.link("orders-1")]
@@ -209,16 +212,16 @@
         assert outcomes == ["ran"]
 
 
-def test_a_transaction_applies_together_and_dies_with_its_connection():
-    """A daemon dies between begin and commit. Nothing of its transaction may be
-    seen by anybody, and a finished one is seen as a whole.
+def test_a_transaction_is_atomic_and_ends_with_its_connection():
+    """A daemon dies between begin and commit. None of its transaction's changes may
+    become visible, while a committed transaction becomes visible as a whole.
     """
     with open_group() as group:
-        dying, link, other = (group.link("orders-1") for _ in range(3))
-        for begun in (dying, link):
-            begun.begin("kitchens", 1, T)
-        write(dying, "", put("soup", 1))
-        dying.close()
+        closing, link, other = (group.link("orders-1") for _ in range(3))
+        for in_transaction in (closing, link):
+            in_transaction.begin("kitchens", 1, T)
+        write(closing, "", put("soup", 1))
+        closing.close()
         write(link, "", put("tray", 1))
         write(link, "", add("tray", 1))
         assert read_value(link, "tray") == 2
@@ -229,9 +232,9 @@
         assert read_value(other, "soup") is None
 
 
-def test_a_commit_after_somebody_changed_its_rows_is_a_conflict():
-    """Two callers change one row at a time, one inside a transaction. A commit
-    that went through would undo the other's change unseen.
+def test_a_commit_after_another_write_to_its_rows_is_a_conflict():
+    """Two callers change the same row, one of them in a transaction. If its commit
+    succeeded, it would overwrite the other caller's change.
     """
     with open_group() as group:
         link, other = group.link("orders-1"), group.link("orders-1")
@@ -243,9 +246,9 @@
         assert (read_value(link, "tray"), read_value(link, "soup")) == (5, None)
 
 
-def test_after_a_fence_nothing_of_an_open_transaction_runs_alone():
-    """The primary is fenced and promoted anew while a transaction is open. A
-    later write of it that ran outside of it would be half of an order.
+def test_a_fence_aborts_an_open_transaction_as_a_whole():
+    """The primary is fenced and promoted again while a transaction is open. If a later
+    write of the transaction ran on its own, half of the transaction would be applied.
     """
     with open_group() as group:
         link = group.link("orders-1")
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform stand-in through plain HTTP, failures first."""
+"""Tests of the platform stand-in over plain HTTP, failures first."""
 
 import contextlib
 import os
@@ -46,8 +46,8 @@
 
 
 def test_down_has_no_effect_and_gives_no_answer(platform, caller):
-    """The platform is down for one caller, which waits and gives up; another caller
-    is served. What was sent in vain must not take effect after the outage.
+    """The platform is down for one caller, whose write times out, while another caller
+    is served. The write that timed out must not take effect after the outage.
     """
     platform.server.set_fault(DOWN, callers=("vm-1",))
     with pytest.raises(urllib3.exceptions.ReadTimeoutError):
@@ -58,9 +58,9 @@
     assert caller.ask("GET", "/v1/values/roster")[1]["value"] == 2
 
 
-def test_a_watch_that_waits_when_the_outage_begins_gets_no_answer(platform, caller):
-    """A change comes into force during an outage. A watch that began earlier must not
-    bring the news, or a test of the outage would test nothing.
+def test_a_watch_that_is_waiting_when_an_outage_begins_gets_no_answer(platform, caller):
+    """A value changes during an outage. If a watch that began before the outage still
+    returned the change, a test of the outage would test nothing.
     """
     caller.ask("PUT", "/v1/values/roster", put(1, 0))
     path = "/v1/values/roster?after=1&wait_ms=9000"
@@ -73,9 +73,9 @@
         watch.result(10)
 
 
-def test_an_outage_keeps_no_tasks_of_callers_that_left(platform, caller):
-    """Callers try again and again during an outage. Tasks that waited for its end
-    would add up until none is left for the first call afterwards.
+def test_an_outage_keeps_no_tasks_of_disconnected_callers(platform, caller):
+    """Callers time out and retry during an outage. If each call left a task that waits
+    for the end of the outage, the task limit would be reached and later calls fail.
     """
     platform.server.set_fault(DOWN)
     for _ in range(10):
@@ -89,8 +89,8 @@
 
 
 def test_a_revision_is_never_used_twice(caller):
-    """A key is deleted and made again. Were its revision the old one, a daemon that
-    holds the old value would take it for the new one.
+    """A key is deleted and created again. If it got its old revision again, a daemon
+    that holds the old value would not notice the new one.
     """
     assert caller.ask("PUT", "/v1/values/k", put("a", 0)) == (200, {"revision": 1})
     assert caller.ask("DELETE", "/v1/values/k?expected_revision=1")[0] == 200
@@ -99,13 +99,13 @@
 
 
 def test_the_vm_list_lags():
-    """A VM is gone, yet the list shows it for as long as the lag."""
+    """A VM is gone, but the list shows it until the lag has passed."""
     with run_platform(vm_lag_ms=100) as platform:
         platform.server.store.set_vm("vm-1", "live")
         caller = Caller(platform.runtime, platform.server.address)
         assert caller.ask("GET", "/v1/vms")[1] == {"revision": 0, "vms": []}
-        shown = {"revision": 1, "vms": [{"name": "vm-1", "state": "live"}]}
-        while caller.ask("GET", "/v1/vms")[1] != shown:
+        expected = {"revision": 1, "vms": [{"name": "vm-1", "state": "live"}]}
+        while caller.ask("GET", "/v1/vms")[1] != expected:
             platform.runtime.sleep_ms(5)
         body = {"name": "vm-1", "state": "gone"}
         assert caller.ask("POST", "/admin/vms", body)[0] == 200
@@ -134,7 +134,7 @@
         ("POST", "/admin/faults", {"mode": "away"}, 400),
     ],
 )
-def test_a_wrong_request_gets_its_status(caller, method, path, body, status):
+def test_an_invalid_request_gets_its_status(caller, method, path, body, status):
     assert caller.ask(method, path, body)[0] == status
 
 
