--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Runs the main job once on stand-ins and says what each step did."""
+"""Demo: runs the main job once, on stand-ins, and prints what each step did."""
 
 import sys
 from typing import Any, NamedTuple
@@ -17,32 +17,32 @@
 from standins.record import Entry
 
 TASKS = 64
-END_MS = 2000
-WRITE_LIMIT_MS = 10_000
-PAUSE_MS = 20
+CLOSE_TIMEOUT_MS = 2000
+RETRY_LIMIT_MS = 10_000
+MIN_RETRY_PAUSE_MS = 20
 TIMEOUT_MS = 5000
-# Larger than what a daemon takes unless its settings say more.
+# Larger than the default limit of a daemon for request bodies.
 OVERSIZED_BYTES = 2 * 1024 * 1024
 ROW = "school-12/lunches"
 GET = Statement(verb="get", row=ROW)
 
 
 class DemoError(Exception):
-    """A step didn't do what it should; the message says which and how."""
+    """A step failed; the message says which one and how."""
 
 
 class BadRequest(NamedTuple):
-    """A request that must be refused, and the code that it must be refused with."""
+    """A request that must be refused, and the code of the expected refusal."""
 
-    what: str
+    description: str
     path: str
     key: str
     body: bytes
     code: Code
 
 
-def say(text: str) -> None:
-    """Print a sentence at once, also when the output goes to a file."""
+def report(text: str) -> None:
+    """Print text and flush it, so that it appears at once in a file too."""
     click.echo(text)
     sys.stdout.flush()
 
@@ -54,7 +54,7 @@
 
 
 def put_first_bundle(cluster: Cluster) -> Operator:
-    """Put the first bundle in force with the command line; return its author."""
+    """Put the first bundle in force through the command line; return its author."""
     ana, ben = Operator(cluster, "ana"), Operator(cluster, "ben")
     operators = [ana.entry, ben.entry]
     bundle = Bundle(**cluster.build_bundle(version=1), operators=operators)
@@ -63,12 +63,12 @@
     roll_out(ana, ben, path)
     cluster.wait_ready(bundle["version"])
     workspace = cluster.layout.workspaces[0]
-    say(
+    report(
         "With the command line ana checked and proposed bundle 1, ben signed it and "
         f"ana rolled it out: workspace {workspace.name} with one key, "
         f"{workspace.rate:g} requests a second and a burst of {workspace.burst:g}."
     )
-    say(f"{len(cluster.daemon_names)} daemons are ready and have bundle 1.")
+    report(f"{len(cluster.daemon_names)} daemons are ready and have bundle 1.")
     return ana
 
 
@@ -83,15 +83,17 @@
         entry = caller.run(group, GET, daemon)
         refused = entry.code == Code.KEY_REJECTED and entry.ran == NOT_RUN
         require(refused, f"{daemon} answered {entry.code} to a withdrawn key")
-    say(f"{operator.name} withdrew the key; all daemons refuse it on open connections.")
+    report(
+        f"{operator.name} withdrew the key; all daemons refuse it on open connections."
+    )
 
 
-def run_patiently(
+def run_with_retries(
     caller: Caller, group: str, statement: Statement, daemon: str = "", **fields: Any
 ) -> Entry:
-    """Run a statement, coming back after each refusal when it says to.
+    """Run a statement, retrying it after each refusal's delay.
 
-    Raise DemoError when it still hasn't run after WRITE_LIMIT_MS.
+    Raise DemoError if it hasn't run after RETRY_LIMIT_MS.
     """
     clock = caller.runtime.clock
     start_ms = clock.now_ms()
@@ -102,8 +104,8 @@
         waited_ms = clock.now_ms() - start_ms
         last = f"the last answer was {entry.code}, {entry.ran}: {entry.message}"
         message = f"{statement} didn't run in {waited_ms:.0f} ms; {last}"
-        require(waited_ms < WRITE_LIMIT_MS, message)
-        clock.sleep_ms(max(PAUSE_MS, entry.retry_after_ms))
+        require(waited_ms < RETRY_LIMIT_MS, message)
+        clock.sleep_ms(max(MIN_RETRY_PAUSE_MS, entry.retry_after_ms))
 
 
 def append(value: str) -> Statement:
@@ -114,14 +116,14 @@
 def write_and_read(caller: Caller, group: str, daemons: list[str]) -> None:
     """Write through one daemon and read it back through another."""
     first, second = daemons[:2]
-    written = run_patiently(
+    written = run_with_retries(
         caller, group, append("no gluten"), first, idempotency_key="demo-1"
     )
-    say(f"Wrote 'no gluten' to {ROW} through {first}; {written.served_by} ran it.")
-    read = run_patiently(caller, group, GET, second)
+    report(f"Wrote 'no gluten' to {ROW} through {first}; {written.served_by} ran it.")
+    read = run_with_retries(caller, group, GET, second)
     require(read.value == ["no gluten"], f"the read gave {read.value}")
     require(read.session_before != "", "the write's answer had no session token")
-    say(
+    report(
         f"Read {read.value} through {second} with the session token from the write; "
         f"{read.served_by} ({read.role}) answered."
     )
@@ -147,59 +149,61 @@
 
 
 def show_refusals(caller: Caller, links: LinkPool, group: str, daemon: str) -> None:
-    """Send requests that must be refused and show how each one was."""
+    """Send requests that must be refused, and print the refusals."""
     for bad in list_bad_requests(caller, group):
         headers = {"Authorization": f"Bearer {bad.key}"}
         data = build_request("POST", bad.path, headers, bad.body)
         outcome = exchange(links, daemon, data, TIMEOUT_MS)
-        require(outcome.answer is not None, f"{bad.what}: no answer, {outcome.error}")
+        require(
+            outcome.answer is not None, f"{bad.description}: no answer, {outcome.error}"
+        )
         show_refusal(bad, outcome.answer)
 
 
 def show_refusal(bad: BadRequest, answer: HttpAnswer) -> None:
     """Check one refusal and print it."""
     body = msgspec.json.decode(answer.body)
-    expected = f"{bad.what} must be refused with {int(bad.code)}, {NOT_RUN}"
+    expected = f"{bad.description} must be refused with {int(bad.code)}, {NOT_RUN}"
     good = body.get("code") == bad.code and body.get("ran") == NOT_RUN
     require(good, f"{expected}; it was answered {answer.status} {body}")
-    require(bool(body.get("advice")), f"{bad.what}: the refusal has no advice")
-    say(
-        f"{bad.what}: refused with {body['code']} {body['name']} (HTTP "
+    require(bool(body.get("advice")), f"{bad.description}: the refusal has no advice")
+    report(
+        f"{bad.description}: refused with {body['code']} {body['name']} (HTTP "
         f"{answer.status}, {body['ran']}). {body['advice']}"
     )
 
 
-def survive_lost_primary(cluster: Cluster, caller: Caller, group: str) -> None:
-    """Kill the primary of a group, and write until the group goes on."""
+def show_failover(cluster: Cluster, caller: Caller, group: str) -> None:
+    """Kill the primary of a group, and retry a write until the group runs it."""
     clock = cluster.runtime.clock
     primary = cluster.find_primary(group)
     cluster.kill(primary)
     start_ms = clock.now_ms()
-    say(f"Killed {primary}, the primary of {group}.")
+    report(f"Killed {primary}, the primary of {group}.")
     sent = len(caller.record)
-    entry = run_patiently(caller, group, append("no nuts"), idempotency_key="demo-2")
+    entry = run_with_retries(caller, group, append("no nuts"), idempotency_key="demo-2")
     refusals = len(caller.record) - sent - 1
     gap_ms = clock.now_ms() - start_ms
-    say(
-        f"A write ran {gap_ms:.0f} ms later at {entry.served_by}. Refused before that: "
-        f"{refusals} times, each with a time to come back."
+    report(
+        f"A write ran {gap_ms:.0f} ms later at {entry.served_by}. Before that, it was "
+        f"refused {refusals} times, each time with a retry delay."
     )
-    read = run_patiently(caller, group, GET)
+    read = run_with_retries(caller, group, GET)
     require(read.value == ["no gluten", "no nuts"], f"the row holds {read.value}")
-    say(f"The row holds {read.value}: nothing lost, nothing doubled.")
+    report(f"The row holds {read.value}: nothing lost, nothing doubled.")
 
 
 def stop_daemon(cluster: Cluster, name: str) -> None:
-    """Ask a daemon to end, and check that it does so properly."""
+    """Stop a daemon with SIGTERM, and check its exit code."""
     code = cluster.stop(name)
     require(code == 0, f"{name} ended with {code}:\n{cluster.read_log(name)}")
-    say(f"Asked {name} to stop (SIGTERM): it finished its work and ended with 0.")
+    report(f"Asked {name} to stop (SIGTERM): it finished its work and ended with 0.")
 
 
 def run_steps(cluster: Cluster) -> None:
-    """Run all steps, or raise DemoError or ClusterError at the first that fails."""
+    """Run all steps; raise DemoError or ClusterError at the first that fails."""
     groups, daemons = cluster.groups, cluster.daemon_names
-    say(
+    report(
         f"Started the platform, {len(groups)} groups of {DEMO.instances} "
         f"endpoints and {len(daemons)} daemons, each a process on loopback."
     )
@@ -210,14 +214,14 @@
     caller = Caller(cluster.runtime, settings, links)
     write_and_read(caller, groups[0], daemons)
     show_refusals(caller, links, groups[0], daemons[0])
-    survive_lost_primary(cluster, caller, groups[0])
+    show_failover(cluster, caller, groups[0])
     withdraw_key(cluster, operator, caller, groups[0])
     links.close()
     stop_daemon(cluster, daemons[0])
 
 
 def run_demo(runtime: Runtime) -> None:
-    """Run the demo; where the logs are goes into the error of a failure."""
+    """Run the demo; the error of a failed one names the folder with the logs."""
     cluster = Cluster(runtime, DEMO)
     try:
         with cluster:
@@ -227,7 +231,7 @@
     except KeyboardInterrupt:
         cluster.remove_logs()
         raise
-    say("Ended every process. The demo is done.")
+    report("Ended every process. The demo is done.")
 
 
 def main() -> None:
@@ -243,7 +247,7 @@
         click.echo("The demo was interrupted; every process was ended.", err=True)
         sys.exit(130)
     finally:
-        runtime.close(END_MS)
+        runtime.close(CLOSE_TIMEOUT_MS)
 
 
 if __name__ == "__main__":
--- a/standins/linecaller.py
+++ b/standins/linecaller.py
@@ -6,14 +6,14 @@
 from bronzerelay.pooler.lines import LineReader
 from bronzerelay.runtime import Address, Runtime
 
-# Where a refusal says when to come back.
-COME_BACK = re.compile(r"Come back in (\d+) ms")
-# How often a caller comes back to a statement that was refused as not run.
-TRIES = 5
+# The retry delay in the text of a refusal.
+RETRY_DELAY = re.compile(r"Come back in (\d+) ms")
+# How often a statement is sent at most while it is refused as not run.
+MAX_ATTEMPTS = 5
 
 
 class LineReply(NamedTuple):
-    """What a statement was answered with; `error` is empty after a success."""
+    """The answer to a statement; `error` is empty after a success."""
 
     rows: list[str]
     signature: str
@@ -24,7 +24,7 @@
 
 
 class LineCaller:
-    """One session."""
+    """One session with a daemon."""
 
     def __init__(self, runtime: Runtime, address: Address, timeout_ms: float = 5000):
         self._runtime = runtime
@@ -55,17 +55,17 @@
         return self.read_reply()
 
     def query_with_retries(self, text: str) -> LineReply:
-        """Run one statement, and again when the daemon says when to come back.
+        """Run one statement, and retry it after each refusal with a retry delay.
 
-        Such a refusal says that nothing has run, so that a write may be repeated. It
-        is for what begins outside a transaction: a refusal ends an open one.
+        Such a refusal says that nothing has run, so that a write may be repeated. Don't
+        use it in a transaction, which a refusal ends.
         """
         reply = self.query(text)
-        for _ in range(TRIES - 1):
-            found = COME_BACK.search(reply.text) if reply.error else None
-            if found is None:
+        for _ in range(MAX_ATTEMPTS - 1):
+            match = RETRY_DELAY.search(reply.text) if reply.error else None
+            if match is None:
                 break
-            self._runtime.clock.sleep_ms(float(found[1]))
+            self._runtime.clock.sleep_ms(float(match[1]))
             reply = self.query(text)
         return reply
 
@@ -86,5 +86,5 @@
                 return LineReply(rows, signature, error, detail, state, position)
 
     def close(self) -> None:
-        """Leave without a word."""
+        """Close the connection without sending TERMINATE."""
         self.connection.close()
--- a/standins/linedemo.py
+++ b/standins/linedemo.py
@@ -1,4 +1,4 @@
-"""Runs the main job on the users' platform once, on stand-ins, with real daemons."""
+"""Demo of the users' platform: real daemons run the main job once, on stand-ins."""
 
 import os
 import signal
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from bronzerelay.runtime import Address, Runtime
-from standins.demo import DemoError, require, say
+from standins.demo import DemoError, report, require
 from standins.linecaller import LineCaller, LineReply
 from standins.linegroup import LOCAL
 from standins.lineplatform import AGED, NORTH, OWN, STRICT, LinePlatform
@@ -19,7 +19,7 @@
 WAIT_MS = 10_000
 STOP_S = 10
 NAMES = ("vm-1", "vm-2")
-# Below the ports that outgoing connections take.
+# Below the ephemeral ports, which outgoing connections take.
 PORTS = range(15_000, 32_000)
 
 
@@ -36,7 +36,7 @@
 
 
 class Deployment:
-    """The platform's stand-in and two daemons in processes of their own."""
+    """The platform stand-in, and two daemons in processes of their own."""
 
     def __init__(self, runtime: Runtime, folder: Path):
         self.runtime = runtime
@@ -58,31 +58,31 @@
                 stdout=log,
             )
 
-    def wait(self, happens: Callable[[], bool], what: str) -> None:
-        """Wait until something happens, or raise DemoError."""
+    def wait(self, predicate: Callable[[], bool], what: str) -> None:
+        """Wait until `predicate` holds, or raise DemoError with `what`."""
         end_ms = self.runtime.clock.now_ms() + WAIT_MS
-        while not happens():
-            require(self.runtime.clock.now_ms() < end_ms, f"Not in time: {what}.")
+        while not predicate():
+            require(self.runtime.clock.now_ms() < end_ms, f"Timed out: {what}.")
             self.runtime.clock.sleep_ms(20)
 
     def connect(self, name: str, database: str) -> LineCaller:
-        """Return a session at a daemon, once it takes one."""
-        found: list[LineCaller] = []
+        """Return a session with a daemon, once the daemon accepts one."""
+        sessions: list[LineCaller] = []
 
         def try_once() -> bool:
             try:
                 caller = LineCaller(self.runtime, self.addresses[name])
                 if caller.start(database, NORTH.keys[0]) == "READY I -":
-                    found.append(caller)
+                    sessions.append(caller)
             except OSError:
                 return False
-            return bool(found)
+            return bool(sessions)
 
         self.wait(try_once, f"a session at {name}")
-        return found[0]
+        return sessions[0]
 
     def close(self) -> None:
-        """End what was started."""
+        """Kill the daemons and stop the platform stand-in."""
         for process in self.processes.values():
             process.kill()
             process.wait()
@@ -90,7 +90,7 @@
 
 
 def run_ok(caller: LineCaller, text: str) -> LineReply:
-    """Run a statement that must succeed, coming back when told to."""
+    """Run a statement that must succeed, retrying it as refusals allow."""
     reply = caller.query_with_retries(text)
     require(not reply.error, f"{text!r} was refused: {reply.error} {reply.text}")
     return reply
@@ -101,7 +101,7 @@
     caller = deployment.connect(NAMES[0], OWN)
     deployment.wait(lambda: not caller.query("STORE lunch 40").error, "a first write")
     require(run_ok(caller, "FETCH lunch").rows == ["40"], "The session lost its write.")
-    say("A session at vm-1 wrote and read its own change.")
+    report("A session at vm-1 wrote and read its own change.")
     run_ok(caller, "PARSE s1 FETCH q1")
     require(run_ok(caller, "EXECUTE s1 lunch").rows == ["40"], "s1 read another row.")
     run_ok(caller, "BEGIN")
@@ -109,7 +109,7 @@
     run_ok(caller, "STORE tray special")
     run_ok(caller, "COMMIT")
     require(run_ok(caller, "FETCH tray").rows == ["special"], "The commit is gone.")
-    say("It ran a prepared statement, and committed a transaction of two writes.")
+    report("It ran a prepared statement, and committed a transaction of two writes.")
 
 
 def show_replicas(deployment: Deployment) -> None:
@@ -123,59 +123,60 @@
     runs = deployment.platform.group.runs[before:]
     on_replicas = sum(run.instance != "orders-0" for run in runs)
     require(on_replicas > 0, "No read went to a replica.")
-    say(f"Of 20 reads of a stated age at vm-2, replicas served {on_replicas}.")
+    report(f"Of 20 reads of a stated age at vm-2, replicas served {on_replicas}.")
 
 
-def show_change_of_primary(deployment: Deployment) -> None:
-    """Silence the primary and go on at another one."""
+def show_primary_change(deployment: Deployment) -> None:
+    """Make the primary stop answering, and wait until another one has replaced it."""
     caller = deployment.connect(NAMES[0], STRICT)
     deployment.platform.group.instances["orders-0"].silent = True
     deployment.wait(lambda: not caller.query("STORE after 1").error, "a new primary")
-    chosen = deployment.platform.group.promotions[-1]
-    say(f"The primary fell silent; {chosen[0]} was promoted under epoch {chosen[2]}.")
+    last = deployment.platform.group.promotions[-1]
+    report(f"The primary stopped answering; {last[0]} was promoted in epoch {last[2]}.")
 
 
 def show_withdrawn_key(deployment: Deployment) -> None:
-    """Withdraw the key of an open session."""
+    """Withdraw a key while a session with it is open."""
     caller = deployment.connect(NAMES[1], STRICT)
     deployment.platform.tenants = [NORTH._replace(keys=())]
     deployment.platform.configure()
     deployment.wait(
-        lambda: caller.query("FETCH lunch").error == "DENIED", "the withdrawn key"
+        lambda: caller.query("FETCH lunch").error == "DENIED", "a refusal of the key"
     )
-    say("The operator withdrew the key; the open session is refused.")
+    report("The operator withdrew the key; the open session is refused.")
 
 
 def show_stop(deployment: Deployment) -> None:
-    """Stop both daemons."""
+    """Stop both daemons and check their exit codes."""
     for process in deployment.processes.values():
         process.send_signal(signal.SIGTERM)
     for name, process in deployment.processes.items():
         code = process.wait(STOP_S)
         require(code == 0, f"{name} ended with exit code {code}.")
-    say("Both daemons ended after SIGTERM with exit code 0.")
+    report("Both daemons ended after SIGTERM with exit code 0.")
 
 
 def main() -> None:
     """Run the demo; exit 1 with the reason when a step fails."""
     runtime = Runtime(task_limit=TASKS)
     with tempfile.TemporaryDirectory(prefix="bronzerelay-lines-") as name:
-        say("On the users' platform: a store, a primary, two replicas, two daemons.")
+        report("On the users' platform: a store, a primary, two replicas, two daemons.")
         deployment = Deployment(runtime, Path(name))
         try:
             show_sessions(deployment)
             show_replicas(deployment)
-            show_change_of_primary(deployment)
+            show_primary_change(deployment)
             show_withdrawn_key(deployment)
             show_stop(deployment)
         except (DemoError, OSError) as error:
-            say(f"The demo failed: {error}")
+            report(f"The demo failed: {error}")
             sys.exit(1)
         finally:
             deployment.close()
             runtime.close(500)
-    say("The demo of the platform is done.")
-    # Its stand-ins' tasks wait for connections that have gone.
+    report("The demo of the platform is done.")
+    # Tasks of the stand-ins still wait on connections, and a normal exit would wait for
+    # them.
     os._exit(0)
 
 
--- a/standins/linegroup.py
+++ b/standins/linegroup.py
@@ -1,8 +1,8 @@
-"""A service of the users' platform: a primary and replicas on the line protocol.
+"""A stand-in for a service of the users' platform, with the line protocol.
 
-All instances of a group live in one process, so that replication is a shared list with
-a delay. What a test needs to break has a switch: a deaf replica, a silent instance, a
-lost answer, a primary behind a cut.
+A primary and its replicas run in one process, so that replication is a copy between
+lists of commits, which replicas apply after a delay. Tests inject faults through
+attributes of an instance, such as lost answers or paused replication.
 """
 
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from bronzerelay.runtime import Address, Connection, Listener, Runtime, TaskLimitError
 
 LOCAL = "127.0.0.1"
-LONG_MS = 60_000.0
+READ_TIMEOUT_MS = 60_000.0
 
 
 class Commit(NamedTuple):
-    """One entry of a log: its place, what it stored, and when it was made."""
+    """One entry of a log: its position, the values that it stored, and its time."""
 
     term: int
     number: int
@@ -25,7 +25,7 @@
 
 
 class Run(NamedTuple):
-    """A statement that an instance has run, as a test looks at it."""
+    """The record of a statement that an instance has run, for tests."""
 
     instance: str
     workspace: str
@@ -49,7 +49,7 @@
         self.term = 1
         self.log: list[Commit] = []
         self.leaving = False
-        # Switches.
+        # Faults that tests set.
         self.replication_paused = False
         self.silent = False
         self.lose_answers = 0
@@ -63,7 +63,7 @@
 
     @property
     def address(self) -> Address:
-        """Return where the instance listens."""
+        """Return the address on which the instance listens."""
         return self.listener.address
 
     def applied(self) -> list[Commit]:
@@ -73,7 +73,7 @@
         newest_ms = self.group.runtime.clock.now_ms() - self.group.lag_ms
         return [commit for commit in self.log if commit.at_ms <= newest_ms]
 
-    def describe(self, log: list[Commit]) -> str:
+    def format_log_end(self, log: list[Commit]) -> str:
         """Return the end of a log as TERM.NUMBER."""
         return f"{log[-1].term}.{log[-1].number}" if log else f"{self.term}.0"
 
@@ -105,23 +105,24 @@
         self._clock = self._group.runtime.clock
         self._reader = LineReader(connection, self._clock)
         self._workspace = ""
-        self._values: dict[str, str] = {}
+        self._settings: dict[str, str] = {}
         self._prepared: dict[str, str] = {}
         self._state = "I"
-        self._plain = False
+        self._read_write = False
         self._term = 0
         self._changes: list[tuple[str, str]] = []
 
     def serve(self) -> None:
-        """Answer statements until either side leaves."""
+        """Answer statements until either side closes the connection."""
         self._instance.connections.add(self._connection)
         self._instance.links += 1
         try:
-            if self._start():
-                while self._answer_one():
+            if self._answer_startup():
+                while self._answer_query():
                     pass
         except OSError:
-            # The other side has gone; what was open here is rolled back by leaving.
+            # The other side has disconnected. Its changes are dropped with this object,
+            # which rolls an open transaction back.
             return
         finally:
             self._instance.links -= 1
@@ -129,12 +130,12 @@
             self._connection.close()
 
     def _read(self) -> str:
-        return self._reader.read_line(self._clock.now_ms() + LONG_MS).decode()
+        return self._reader.read_line(self._clock.now_ms() + READ_TIMEOUT_MS).decode()
 
     def _send(self, *lines: str) -> None:
         self._connection.send("".join(f"{line}\r\n" for line in lines).encode())
 
-    def _start(self) -> bool:
+    def _answer_startup(self) -> bool:
         _, service, self._workspace, *expected = self._read().split(" ")
         if service != self._group.service or expected not in (
             [],
@@ -145,14 +146,14 @@
         if self._instance.refuse_links or self._instance.links > self._group.max_links:
             self._send("ERROR MAXCONN no connection is free")
             return False
-        self._send(self._ready())
+        self._send(self._format_ready())
         return True
 
-    def _ready(self) -> str:
+    def _format_ready(self) -> str:
         instance = self._instance
-        return f"READY {self._state} {instance.describe(instance.applied())}"
+        return f"READY {self._state} {instance.format_log_end(instance.applied())}"
 
-    def _answer_one(self) -> bool:
+    def _answer_query(self) -> bool:
         _, statement_id, text = self._read().split(" ", 2)
         instance = self._instance
         while instance.silent:
@@ -164,14 +165,14 @@
         except _RefusedError as error:
             if self._state == "T":
                 self._state = "E"
-            self._send(f"ERROR {error}", self._ready())
+            self._send(f"ERROR {error}", self._format_ready())
             return True
         if instance.work_ms:
             self._group.runtime.sleep_ms(instance.work_ms)
         if statement_id != "-" and instance.lose_answers:
             instance.lose_answers -= 1
             return False
-        self._send(*lines, self._ready())
+        self._send(*lines, self._format_ready())
         return True
 
     def _run(self, statement_id: str, text: str) -> list[str]:
@@ -195,7 +196,7 @@
         }
         if word in handlers:
             if word == "COMMIT":
-                self._note(statement_id, text, "")
+                self._record_run(statement_id, text, "")
             return handlers[word](rest)
         return self._run_data(statement_id, text, word, rest)
 
@@ -206,24 +207,24 @@
         if end < (int(term), int(number)):
             raise _RefusedError("LAGGING the log lacks that position")
 
-    def _note(self, statement_id: str, text: str, shape: str) -> None:
-        values = tuple(sorted(self._values.items()))
+    def _record_run(self, statement_id: str, text: str, shape: str) -> None:
+        values = tuple(sorted(self._settings.items()))
         run = Run(
             self._instance.name, self._workspace, statement_id, text, values, shape
         )
         self._group.runs.append(run)
 
     def _begin(self, rest: str) -> list[str]:
-        self._plain = rest != "FETCH"
-        if self._plain and not self._instance.is_primary:
+        self._read_write = rest != "FETCH"
+        if self._read_write and not self._instance.is_primary:
             raise _RefusedError("READONLY this is a replica")
         self._state, self._term, self._changes = "T", self._instance.term, []
         return ["COMPLETE -"]
 
-    def _check_lead(self) -> None:
+    def _check_primary(self) -> None:
         instance = self._instance
         lost = not instance.is_primary or instance.term != self._term
-        if self._state == "T" and self._plain and lost:
+        if self._state == "T" and self._read_write and lost:
             raise _RefusedError("READONLY the lead is lost")
 
     def _commit(self, _: str) -> list[str]:
@@ -231,10 +232,10 @@
             self._state = "I"
             raise _RefusedError("ABORTED the transaction had failed")
         if self._changes:
-            self._check_lead()
+            self._check_primary()
             self._group.commit(self._instance, tuple(self._changes))
         self._state = "I"
-        return [f"COMPLETE {self._sign()}"]
+        return [f"COMPLETE {self._make_signature()}"]
 
     def _roll_back(self, _: str) -> list[str]:
         self._state, self._changes = "I", []
@@ -242,11 +243,11 @@
 
     def _set(self, rest: str) -> list[str]:
         name, _, value = rest.partition(" ")
-        self._values[name] = value
+        self._settings[name] = value
         return ["COMPLETE -"]
 
     def _discard(self, _: str) -> list[str]:
-        self._values, self._prepared = {}, {}
+        self._settings, self._prepared = {}, {}
         return ["COMPLETE -"]
 
     def _prepare(self, rest: str) -> list[str]:
@@ -257,7 +258,7 @@
     def _status(self, _: str) -> list[str]:
         instance = self._instance
         role = "primary" if instance.is_primary else "replica"
-        end = instance.describe(instance.log)
+        end = instance.format_log_end(instance.log)
         held = instance.held_term
         row = f"{role} {instance.term} {end} {held} 0 0 {instance.links}"
         return [f"DATAROW {row}", "COMPLETE -"]
@@ -272,28 +273,31 @@
                 raise _RefusedError("NOPREP no such name")
             shape = self._prepared[name]
             word = shape.split(" ")[0]
-        self._check_lead()
+        self._check_primary()
         item, _, data = rest.partition(" ")
         if word == "FETCH":
-            self._note(statement_id, text, shape)
-            found = dict(
+            self._record_run(statement_id, text, shape)
+            values = dict(
                 change
                 for commit in self._instance.applied()
                 for change in commit.changes
             )
-            return [f"DATAROW {found.get(item, '-')}", f"COMPLETE {self._sign()}"]
+            return [
+                f"DATAROW {values.get(item, '-')}",
+                f"COMPLETE {self._make_signature()}",
+            ]
         if word != "STORE":
             raise _RefusedError(f"PROTOERR {word} is unknown")
         if not self._instance.is_primary:
             raise _RefusedError("READONLY this is a replica")
-        self._note(statement_id, text, shape)
+        self._record_run(statement_id, text, shape)
         if self._state == "T":
             self._changes.append((item, data))
         else:
             self._group.commit(self._instance, ((item, data),))
-        return [f"COMPLETE {self._sign()}"]
+        return [f"COMPLETE {self._make_signature()}"]
 
-    def _sign(self) -> str:
+    def _make_signature(self) -> str:
         return f"{self._instance.name}.{len(self._group.runs)}"
 
 
@@ -314,7 +318,7 @@
             self.add(f"{service}-{number}", number == 0)
 
     def add(self, name: str, is_primary: bool) -> LineInstance:
-        """Add an instance and let it listen."""
+        """Add an instance and start it."""
         instance = LineInstance(self, name, is_primary)
         self.instances[name] = instance
         self.runtime.start(instance.accept)
@@ -323,17 +327,17 @@
     def commit(
         self, primary: LineInstance, changes: tuple[tuple[str, str], ...]
     ) -> None:
-        """Add a commit to the primary's log and to those that hear of it."""
+        """Append a commit to the primary's log and to those of its replicas."""
         number = primary.log[-1].number + 1 if primary.log else 1
         commit = Commit(primary.term, number, changes, self.runtime.clock.now_ms())
         primary.log.append(commit)
         for other in self.instances.values():
-            follows = not other.is_primary and other.term == primary.term
-            if other is not primary and follows and not other.replication_paused:
+            is_replica = not other.is_primary and other.term == primary.term
+            if other is not primary and is_replica and not other.replication_paused:
                 other.log.append(commit)
 
     def promote(self, name: str, holder: str, epoch: int) -> bool:
-        """Let an instance lead the next term; return whether it runs."""
+        """Make an instance primary of the next term; return whether it is running."""
         self.promotions.append((name, holder, epoch))
         chosen = self.instances.get(name)
         if chosen is None or chosen.silent:
@@ -341,7 +345,7 @@
         with self.condition:
             if chosen.is_primary:
                 return True
-            term = max(one.term for one in self.instances.values()) + 1
+            term = max(instance.term for instance in self.instances.values()) + 1
             for other in self.instances.values():
                 if other is chosen or other.silent:
                     continue
@@ -352,7 +356,7 @@
         return True
 
     def close(self) -> None:
-        """Close all ports."""
+        """Close all ports and connections."""
         for instance in self.instances.values():
             instance.listener.close()
             instance.close_connections()
--- a/standins/lineplatform.py
+++ b/standins/lineplatform.py
@@ -1,4 +1,4 @@
-"""The users' platform as tests set it up: store, service, configuration."""
+"""A stand-in for the users' platform: its store, one service, its configuration."""
 
 import json
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 class Tenant(NamedTuple):
-    """A tenant as a test configures it."""
+    """A tenant of the configuration."""
 
     name: str
     keys: tuple[str, ...]
@@ -28,7 +28,7 @@
 
 
 def make_route(database: str, kind: str, **fields: Any) -> dict[str, Any]:
-    """Return a route to the service, with some fields of its own."""
+    """Return a route to the service; `fields` replace its defaults."""
     return {
         "name": f"r-{database}",
         "host": database,
@@ -66,7 +66,7 @@
         self.configure()
 
     def configure(self) -> int:
-        """Put the next version of the configuration; return its number."""
+        """Write the next version of the configuration; return its number."""
         self.version += 3
         config = {
             "version": self.version,
@@ -88,7 +88,7 @@
         return self.version
 
     def register(self, instance: LineInstance) -> None:
-        """Write what an instance says of itself."""
+        """Write the entry by which an instance registers itself."""
         entry = {
             "service": SERVICE,
             "address": str(instance.address),
@@ -104,7 +104,7 @@
         self.store.put_json(f"servers/{instance.name}", entry)
 
     def write_settings(self, path: Path, name: str, ports: list[Address]) -> None:
-        """Write the settings file of a daemon: frontend, ready and peer ports."""
+        """Write a daemon's settings file; `ports` are frontend, ready and peer."""
         frontend, ready, peer = ports
         store = self.store.address
         lines = [
@@ -129,11 +129,11 @@
         path.write_text("\n".join(lines) + "\n")
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop the group and the store."""
         self.group.close()
         self.store.close()
 
 
 def read_events(output: str) -> list[dict[str, Any]]:
-    """Return the log lines of a daemon's output."""
+    """Return the decoded log lines of a daemon's output."""
     return [json.loads(line) for line in output.splitlines() if line.startswith("{")]
