--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller: runs statements through daemons and carries the session token."""
+"""A caller: runs statements through daemons and passes on the session token."""
 
 from typing import Any, NamedTuple
 
@@ -12,12 +12,12 @@
 
 DEFAULT_TIMEOUT_MS = 10_000
 REQUEST_ID_BITS = 64
-RAN_WORDS = (RAN, NOT_RUN, UNKNOWN)
-SHOWN_BYTES = 200
+RAN_VALUES = (RAN, NOT_RUN, UNKNOWN)
+EXCERPT_BYTES = 200
 
 
 class CallerSettings(NamedTuple):
-    """Who calls: a name for the session, the workspace and its key."""
+    """The name of a caller's session, its workspace and the workspace's key."""
 
     name: str
     workspace: str
@@ -26,7 +26,7 @@
 
 
 class Outcome(NamedTuple):
-    """What became of a request: its answer, or why there is none."""
+    """The outcome of a request: its answer, or the reason why there is none."""
 
     answer: HttpAnswer | None
     error: str = ""
@@ -36,9 +36,9 @@
 class Caller:
     """One session of a workspace; it runs one request at a time.
 
-    The token of each answer goes with the next request, whichever daemon that is
-    sent to. Callers of one process share the connections of a LinkPool. Each request
-    is added to `record`.
+    The session token of each answer is sent with the next request, whichever daemon
+    that goes to. Callers of one process share the connections of a LinkPool. Each
+    request is added to `record`.
     """
 
     def __init__(
@@ -66,8 +66,8 @@
     ) -> Entry:
         """Send a request with the session's token and return its entry.
 
-        Without the name of a daemon one is picked at random. `due_ms` is when the
-        request should have been sent, if that was earlier.
+        Without a daemon's name, one is picked at random. `due_ms` is when the request
+        should have been sent, if that was earlier.
         """
         daemon = daemon or self.runtime.random.choice(list(self._links.addresses))
         if self.session and "session" not in request:
@@ -97,7 +97,7 @@
 
 
 def exchange(links: LinkPool, daemon: str, data: bytes, timeout_ms: float) -> Outcome:
-    """Send bytes to a daemon and return the answer, or why there is none."""
+    """Send a request's bytes to a daemon; return its answer, or why there is none."""
     try:
         link = links.take(daemon, timeout_ms)
     except OSError as error:
@@ -122,10 +122,10 @@
     times: tuple[float, float, float],
     outcome: Outcome,
 ) -> Entry:
-    """Return the record's entry for a request and what became of it."""
+    """Return the record's entry for a request and its outcome."""
     answer = outcome.answer
     fields = decode_body(outcome)
-    body = fields if is_proper(fields) else judge_outcome(outcome)
+    body = fields if is_valid_body(fields) else describe_failure(outcome)
     session = request.get("session", "")
     return Entry(
         *times,
@@ -158,7 +158,7 @@
 
 
 def decode_body(outcome: Outcome) -> dict[str, Any]:
-    """Return the body of an answer; an empty one where it is no JSON object."""
+    """Return the decoded body of an answer, empty if it isn't a JSON object."""
     if outcome.answer is None:
         return {}
     try:
@@ -168,18 +168,18 @@
     return body if isinstance(body, dict) else {}
 
 
-def is_proper(body: dict[str, Any]) -> bool:
-    """Return whether a body holds what every answer must hold."""
-    return isinstance(body.get("code"), int) and body.get("ran") in RAN_WORDS
+def is_valid_body(body: dict[str, Any]) -> bool:
+    """Return whether a body has the fields that every answer must have."""
+    return isinstance(body.get("code"), int) and body.get("ran") in RAN_VALUES
 
 
-def judge_outcome(outcome: Outcome) -> dict[str, Any]:
-    """Return `code`, `ran` and `message` for a request without a proper answer."""
+def describe_failure(outcome: Outcome) -> dict[str, Any]:
+    """Return `code`, `ran` and `message` for a request without a valid answer."""
     if outcome.answer is None:
         ran = NOT_RUN if outcome.code == UNREACHABLE else UNKNOWN
         return {"code": outcome.code, "ran": ran, "message": outcome.error}
-    text = outcome.answer.body[:SHOWN_BYTES].decode(errors="replace")
-    return {"code": NO_ANSWER, "ran": UNKNOWN, "message": f"odd answer: {text}"}
+    text = outcome.answer.body[:EXCERPT_BYTES].decode(errors="replace")
+    return {"code": NO_ANSWER, "ran": UNKNOWN, "message": f"invalid answer: {text}"}
 
 
 if __name__ == "__main__":
--- a/standins/checks.py
+++ b/standins/checks.py
@@ -1,4 +1,4 @@
-"""Checks what callers saw and what endpoints ran against the promises."""
+"""Checks what callers saw and what endpoints ran against the product's promises."""
 
 import math
 from collections import defaultdict
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from bronzerelay.codes import CODES, NOT_RUN, RAN, UNKNOWN, Code
-from standins.evidence import Effect, Evidence, name_change
+from standins.evidence import Effect, Evidence, get_change_name
 from standins.rates import SECOND_MS, STATEMENT, RateLimit, check_rates
 from standins.record import NO_ANSWER, Entry
 from standins.violations import (
@@ -15,7 +15,7 @@
     DoubledWrite,
     FalseNotRun,
     ForeignAnswer,
-    KeySeen,
+    KeyLeaked,
     LostWrite,
     RanTwice,
     SentAgain,
@@ -30,7 +30,7 @@
 
 
 class Change(NamedTuple):
-    """A change that a caller asked for: each time it was sent, and its effects."""
+    """A change that a caller requested: its requests, and the number of its effects."""
 
     name: str
     entries: list[Entry]
@@ -44,7 +44,7 @@
     entries = sorted(record, key=lambda entry: entry.sent_ms)
     return [
         *check_writes(entries, evidence),
-        *check_once(entries, evidence),
+        *check_repeats(entries, evidence),
         *check_sessions(entries),
         *check_answers(entries),
         *check_refusals(entries),
@@ -57,84 +57,84 @@
 
 
 def check_writes(record: Iterable[Entry], evidence: Evidence) -> list[Violation]:
-    """Return the changes that are lost, doubled, or there against a "not run"."""
-    found: list[Violation] = []
+    """Return the changes that are lost, doubled, or took effect despite "not run"."""
+    violations: list[Violation] = []
     for change in collect_changes(record, evidence):
         last = change.entries[-1]
         acknowledged = [entry for entry in change.entries if entry.ran == RAN]
         if acknowledged and change.effects == 0:
             request_id = acknowledged[0].request_id
-            found.append(LostWrite(request_id, change.name, last.group))
+            violations.append(LostWrite(request_id, change.name, last.group))
         if change.effects > 1:
-            doubled = (last.request_id, change.name, last.group, change.effects)
-            found.append(DoubledWrite(*doubled))
+            details = (last.request_id, change.name, last.group, change.effects)
+            violations.append(DoubledWrite(*details))
         refused = all(entry.ran == NOT_RUN for entry in change.entries)
         if refused and change.effects:
-            false = (last.request_id, change.name, last.group, last.code)
-            found.append(FalseNotRun(*false))
-    return found
+            details = (last.request_id, change.name, last.group, last.code)
+            violations.append(FalseNotRun(*details))
+    return violations
 
 
 def collect_changes(record: Iterable[Entry], evidence: Evidence) -> list[Change]:
     """Return the changes outside transactions, with how often each took effect.
 
-    An append is counted twice over, by the name under which it stands in the log and
-    by its unique value: a proxy that sent it again under another name shows too. What
-    has neither a name nor a unique value can't be counted and is left out.
+    An append is counted both by its name in the log and by its unique value, so that
+    one that a proxy sent again under another name is found too. A change with neither
+    a name nor a unique value can't be counted and is left out.
     """
-    named, appended = count_effects(evidence.effects)
+    by_name, by_append = count_effects(evidence.effects)
     changes: dict[tuple[str, str], list[Entry]] = defaultdict(list)
     for entry in record:
         if entry.is_write and not entry.transaction and entry.action == STATEMENT:
-            name = name_change(entry) or entry.request_id
+            name = get_change_name(entry) or entry.request_id
             changes[(entry.group, name)].append(entry)
     collected = []
     for (group, name), entries in changes.items():
         counts = []
         if entries[0].idempotency_key:
-            counts.append(named[(group, name)])
+            counts.append(by_name[(group, name)])
         if is_append(entries[0]):
-            counts.append(appended[make_token(entries[0])])
+            counts.append(by_append[make_append_key(entries[0])])
         if counts:
             collected.append(Change(name, entries, max(counts)))
     return collected
 
 
 def count_effects(effects: Iterable[Effect]) -> tuple[dict, dict]:
-    """Return how often each change, and each value of each list, took effect."""
-    named: dict[tuple[str, str], int] = defaultdict(int)
-    appended: dict[tuple[str, str, str], int] = defaultdict(int)
+    """Return how often each change, and each append of a value, took effect."""
+    by_name: dict[tuple[str, str], int] = defaultdict(int)
+    by_append: dict[tuple[str, str, str], int] = defaultdict(int)
     for effect in effects:
-        named[(effect.group, effect.change)] += 1
+        by_name[(effect.group, effect.change)] += 1
         for row, values in effect.added.items():
             for value in values:
-                appended[(effect.group, row, repr(value))] += 1
-    return named, appended
+                by_append[(effect.group, row, repr(value))] += 1
+    return by_name, by_append
 
 
-def check_once(record: Iterable[Entry], evidence: Evidence) -> list[Violation]:
-    """Return the requests that may not be repeated and were.
+def check_repeats(record: Iterable[Entry], evidence: Evidence) -> list[Violation]:
+    """Return the requests that were repeated although that was not allowed.
 
-    The log alone would not show one that ran at a primary which was then replaced and
-    again at the next: what the instances were asked shows it.
+    If a request ran at a primary that was then replaced, and again at the next one, the
+    group's log may hold only one of its effects. The executions show both.
     """
     executions = defaultdict(list)
     for execution in evidence.executions:
         if execution.op == "write":
             executions[(execution.group, execution.change)].append(execution)
-    found: list[Violation] = []
+    violations: list[Violation] = []
     for entry in record:
-        change = name_change(entry)
+        change = get_change_name(entry)
         if entry.repeatable or not entry.is_write or not change:
             continue
         own = executions[(entry.group, change)]
-        ran = tuple(one.instance for one in own if one.outcome == RAN)
+        ran = tuple(execution.instance for execution in own if execution.outcome == RAN)
         if len(ran) > 1:
-            found.append(RanTwice(entry.request_id, change, ran))
-        ids = tuple(sorted({one.endpoint_id for one in own}))
+            violations.append(RanTwice(entry.request_id, change, ran))
+        ids = tuple(sorted({execution.endpoint_id for execution in own}))
         if len(ids) > 1:
-            found.append(SentAgain(entry.request_id, change, ids))
-    return found
+            violations.append(SentAgain(entry.request_id, change, ids))
+    return violations
 
 
 # Sessions
@@ -143,8 +143,8 @@
 def check_sessions(record: Iterable[Entry]) -> list[StaleRead]:
     """Return the reads that lack what their session had written or read before.
 
-    Rows must only grow in the run, by `append` and `add`; the others are left out.
-    A read within a transaction is left out, too: it may see what is not kept.
+    Only rows that just grow in the run, by `append` and `add`, are checked. Statements
+    in transactions are left out: they may see changes that are never committed.
     """
     entries = sorted(record, key=lambda entry: entry.sent_ms)
     entries = [
@@ -152,43 +152,43 @@
         for entry in entries
         if entry.action == STATEMENT and not entry.transaction
     ]
-    mixed = {
+    unchecked_rows = {
         (entry.group, entry.statement["row"])
         for entry in entries
         if entry.statement["verb"] in ("put", "delete")
     }
-    seen: dict[tuple[str, str, str], Any] = {}
-    found = []
+    last_values: dict[tuple[str, str, str], Any] = {}
+    violations = []
     for entry in entries:
         row = entry.statement["row"]
-        if entry.ran != RAN or (entry.group, row) in mixed:
+        if entry.ran != RAN or (entry.group, row) in unchecked_rows:
             continue
-        place = (entry.caller, entry.group, row)
-        missing = find_missing(seen.get(place), entry.value)
+        key = (entry.caller, entry.group, row)
+        missing = find_missing(last_values.get(key), entry.value)
         if missing:
             details = (entry.caller, row, missing, entry.served_by)
-            found.append(StaleRead(entry.request_id, *details))
+            violations.append(StaleRead(entry.request_id, *details))
         else:
-            seen[place] = entry.value
-    return found
+            last_values[key] = entry.value
+    return violations
 
 
 def find_missing(known: Any, value: Any) -> tuple[str, ...]:
-    """Return what a value lacks of what the session knew; nothing when it is new."""
+    """Return what a value lacks of the value that the session saw last."""
     if isinstance(known, list):
-        have = {repr(one) for one in value} if isinstance(value, list) else set()
-        return tuple(repr(one) for one in known if repr(one) not in have)
+        present = {repr(item) for item in value} if isinstance(value, list) else set()
+        return tuple(repr(item) for item in known if repr(item) not in present)
     if isinstance(known, int | float):
-        low = not isinstance(value, int | float) or value < known
-        return (f"{known} instead of {value}",) if low else ()
+        is_lower = not isinstance(value, int | float) or value < known
+        return (f"{known} instead of {value}",) if is_lower else ()
     return ()
 
 
 # Answers
 
-# What a daemon tells a connection before it has read a request from it. A request on
-# its way crosses with that, and takes it for its answer: it was not read and didn't
-# run, which is what the refusal says, under an id that no request has.
+# Refusals that a daemon sends on a connection before it has read a request from it. If
+# a request is sent meanwhile, its caller takes the refusal for its answer. It rightly
+# says that the request didn't run, but under a request id that no caller has sent.
 CONNECTION_CODES = frozenset(
     {Code.CALLER_TOO_SLOW, Code.CONNECTION_LIMIT, Code.STOPPING}
 )
@@ -197,27 +197,29 @@
 def check_answers(record: Iterable[Entry]) -> list[ForeignAnswer]:
     """Return the answers that belong to another request.
 
-    An answer must carry its own request's id, unless the connection was refused before
-    the request was read. A list must hold the value that the request itself appended,
-    and only values that somebody appended to that row.
+    An answer must have its request's id, unless the connection was refused before the
+    request was read. A list must contain the value that the request itself appended,
+    and only values that some request appended to that row.
     """
     entries = list(record)
     request_ids = {entry.request_id for entry in entries}
-    known = defaultdict(set)
+    appended = defaultdict(set)
     for entry in entries:
         if entry.statement and entry.statement["verb"] == "append":
             key = (entry.group, entry.statement["row"])
-            known[key].add(repr(entry.statement["value"]))
-    found = []
+            appended[key].add(repr(entry.statement["value"]))
+    violations = []
     for entry in entries:
-        wrong = find_foreign_id(entry, request_ids) or find_foreign(entry, known)
-        if wrong:
-            found.append(ForeignAnswer(entry.request_id, wrong))
-    return found
+        foreign = find_foreign_request_id(entry, request_ids) or find_foreign_value(
+            entry, appended
+        )
+        if foreign:
+            violations.append(ForeignAnswer(entry.request_id, foreign))
+    return violations
 
 
-def find_foreign_id(entry: Entry, request_ids: set[str]) -> str:
-    """Return the request id in an answer when it is another's, or an empty text."""
+def find_foreign_request_id(entry: Entry, request_ids: set[str]) -> str:
+    """Return a foreign request id in an answer, or an empty text if there is none."""
     if not entry.was_answered or entry.answered_id == entry.request_id:
         return ""
     unread = entry.code in CONNECTION_CODES and entry.ran == NOT_RUN
@@ -226,23 +228,25 @@
     return f"request id {entry.answered_id!r}"
 
 
-def find_foreign(entry: Entry, known: Mapping[tuple[str, str], set[str]]) -> str:
-    """Return what in an answer is another's, or an empty text."""
+def find_foreign_value(
+    entry: Entry, appended: Mapping[tuple[str, str], set[str]]
+) -> str:
+    """Return what in an answer's value is foreign, or an empty text if nothing is."""
     if entry.ran != RAN or entry.action != STATEMENT:
         return ""
     statement = entry.statement
     values = entry.value if isinstance(entry.value, list) else []
     if statement["verb"] == "append" and statement["value"] not in values:
         return f"a list without its own {statement['value']!r}"
-    own = known.get((entry.group, statement["row"]))
-    foreign = [one for one in values if own is not None and repr(one) not in own]
+    own = appended.get((entry.group, statement["row"]))
+    foreign = [value for value in values if own is not None and repr(value) not in own]
     return f"values {foreign} that nobody appended" if foreign else ""
 
 
 def check_all_answered(
     record: Iterable[Entry], killed: Iterable[str] = ()
 ) -> list[Unanswered]:
-    """Return the requests that got no answer, but for daemons that were `killed`."""
+    """Return the requests without an answer, except from daemons that were `killed`."""
     killed = set(killed)
     return [
         Unanswered(entry.request_id, entry.daemon, entry.message)
@@ -255,7 +259,7 @@
 
 
 def check_refusals(record: Iterable[Entry]) -> list[BrokenRefusal]:
-    """Return what is wrong with refusals, one finding for each fault of each."""
+    """Return the faults of all refusals, one violation for each fault."""
     return [
         BrokenRefusal(entry.request_id, entry.code, what)
         for entry in record
@@ -265,7 +269,7 @@
 
 
 def list_faults(entry: Entry) -> list[str]:
-    """Return what is wrong with one refusal."""
+    """Return descriptions of the faults of one refusal."""
     if entry.code not in Code.__members__.values():
         return [f"status {entry.status} with a body of fields {list(entry.fields)}"]
     faults = []
@@ -275,9 +279,9 @@
         faults.append(f"lacks {', '.join(sorted(missing))}")
     if entry.status != code.status:
         faults.append(f"status {entry.status} instead of {code.status}")
-    # A daemon may know more than a code that leaves it open, never less.
-    sure = code.ran == UNKNOWN and entry.ran == NOT_RUN
-    if entry.ran != code.ran and not sure:
+    # Where the table says "unknown", a daemon may know that the request didn't run.
+    is_known_not_run = code.ran == UNKNOWN and entry.ran == NOT_RUN
+    if entry.ran != code.ran and not is_known_not_run:
         faults.append(f"says {entry.ran} where the table says {code.ran}")
     if not entry.message:
         faults.append("has no message")
@@ -294,28 +298,28 @@
 def check_transactions(
     record: Iterable[Entry], evidence: Evidence
 ) -> list[BrokenTransaction]:
-    """Return the transactions that are not there whole, once, and by themselves.
+    """Return the transactions that were not applied as a whole, once and unmixed.
 
-    Their appends carry unique values. After an acknowledged commit all of them stand
-    in one entry of the log, with nothing else; after none, nowhere.
+    Their appends have unique values. After an acknowledged commit, one log entry must
+    hold all of these values and no others; without a commit, no entry may hold any.
     """
     by_name: dict[str, list[Entry]] = defaultdict(list)
     for entry in record:
         if entry.transaction:
             by_name[entry.transaction].append(entry)
-    found = []
+    violations = []
     for name, entries in by_name.items():
-        what = judge_transaction(entries, evidence.effects)
-        if what:
-            found.append(BrokenTransaction(name, what))
-    return found
+        fault = find_transaction_fault(entries, evidence.effects)
+        if fault:
+            violations.append(BrokenTransaction(name, fault))
+    return violations
 
 
-def judge_transaction(entries: list[Entry], effects: Iterable[Effect]) -> str:
-    """Return what is wrong with one transaction, or an empty text."""
+def find_transaction_fault(entries: list[Entry], effects: Iterable[Effect]) -> str:
+    """Return a description of one transaction's fault, or an empty text."""
     appends = [entry for entry in entries if is_append(entry) and entry.ran == RAN]
-    expected = {make_token(entry) for entry in appends}
-    holding = [effect for effect in effects if expected & list_tokens(effect)]
+    expected = {make_append_key(entry) for entry in appends}
+    holding = [effect for effect in effects if expected & list_append_keys(effect)]
     commits = [entry for entry in entries if entry.action == "commit"]
     if len(holding) > 1:
         return f"its changes stand in {len(holding)} entries of the log"
@@ -325,13 +329,13 @@
         return "it was not committed, and its changes are there"
     if not holding:
         return ""
-    there = list_tokens(holding[0])
-    # What was sent with an unknown outcome may be in it or not.
-    allowed = {make_token(entry) for entry in entries if is_append(entry)}
-    if not expected <= there:
-        return f"lacks {sorted(expected - there)}"
-    if not there <= allowed:
-        return f"holds {sorted(there - allowed)} of somebody else"
+    present = list_append_keys(holding[0])
+    # The entry may or may not hold appends whose outcome is unknown.
+    allowed = {make_append_key(entry) for entry in entries if is_append(entry)}
+    if not expected <= present:
+        return f"lacks {sorted(expected - present)}"
+    if not present <= allowed:
+        return f"holds {sorted(present - allowed)} of somebody else"
     return ""
 
 
@@ -340,14 +344,14 @@
     return entry.statement is not None and entry.statement["verb"] == "append"
 
 
-def make_token(entry: Entry) -> tuple[str, str, str]:
-    """Return group, row and value of an append."""
+def make_append_key(entry: Entry) -> tuple[str, str, str]:
+    """Return group, row and value of an append, which identify it."""
     statement = entry.statement
     return (entry.group, statement["row"], repr(statement["value"]))
 
 
-def list_tokens(effect: Effect) -> set[tuple[str, str, str]]:
-    """Return group, row and value of all that an effect appended."""
+def list_append_keys(effect: Effect) -> set[tuple[str, str, str]]:
+    """Return group, row and value of everything that an effect appended."""
     return {
         (effect.group, row, repr(value))
         for row, values in effect.added.items()
@@ -358,13 +362,14 @@
 # Keys
 
 
-def check_keys(keys: Mapping[str, str], places: Mapping[str, bytes]) -> list[KeySeen]:
-    """Return where a workspace's key stands; `places` holds bytes by their name.
+def check_keys(keys: Mapping[str, str], places: Mapping[str, bytes]) -> list[KeyLeaked]:
+    """Return the places that contain a workspace's key.
 
-    The places are what endpoints received, logs, metrics and answers.
+    `places` holds the contents of logs, metrics, answers and what endpoints received,
+    each under a name.
     """
     return [
-        KeySeen(workspace, place)
+        KeyLeaked(workspace, place)
         for place, data in places.items()
         for workspace, key in keys.items()
         if key.encode() in data
--- a/standins/evidence.py
+++ b/standins/evidence.py
@@ -1,19 +1,20 @@
-"""What the endpoints ran, read from the records of their logs."""
+"""What the endpoints ran, read from their logs and their records of executions."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
 from standins.record import Entry
 
-# A daemon numbers its attempts behind this mark in the ids that endpoints record.
+# In the request ids that endpoints record, this separates the name of a change from the
+# number of the daemon's attempt.
 ATTEMPT_MARK = "#"
 WRITE = "write"
 
 
 class Effect(NamedTuple):
-    """A change in a group's log; `added` is what it appended to lists, by row.
+    """A change in a group's log; `added` holds the items that it appended, by row.
 
-    `change` names it as `name_change` does; `position` is its place in the log.
+    `change` is its name, as `get_change_name` returns it.
     """
 
     group: str
@@ -24,7 +25,7 @@
 
 
 class Execution(NamedTuple):
-    """One attempt to run something at an instance, whatever came of it."""
+    """One attempt to run an op at an instance, with any outcome."""
 
     group: str
     instance: str
@@ -37,17 +38,17 @@
 
 
 class Evidence(NamedTuple):
-    """What all groups hold, and what all instances that answer were asked."""
+    """The effects in all groups, and the executions at all instances that answer."""
 
     effects: list[Effect]
     executions: list[Execution]
 
 
-def name_change(entry: Entry) -> str:
-    """Return the name under which a request's change stands in the log.
+def get_change_name(entry: Entry) -> str:
+    """Return the name of a request's change in the log.
 
-    It is empty without an idempotency key: a daemon then takes a name of its own,
-    which the caller doesn't see.
+    It is empty without an idempotency key: the daemon then makes up a name, which the
+    caller doesn't see.
     """
     if entry.idempotency_key:
         return f"{entry.workspace}/{entry.idempotency_key}"
@@ -55,18 +56,18 @@
 
 
 def strip_attempt(endpoint_id: str) -> str:
-    """Return the name of the change from the id that an endpoint recorded."""
+    """Return the name of the change in a request id that an endpoint recorded."""
     return endpoint_id.rpartition(ATTEMPT_MARK)[0] or endpoint_id
 
 
 def read_log(group: str, entries: Iterable[dict[str, Any]]) -> list[Effect]:
-    """Return the effects in a log, in its order."""
+    """Return the effects of a log's entries, in the order of the log."""
     rows: dict[str, Any] = {}
     effects = []
     for position, entry in enumerate(entries, start=1):
         added = {}
         for row, value in entry["changes"].items():
-            added[row] = find_added(rows.get(row), value)
+            added[row] = find_appended(rows.get(row), value)
             rows[row] = value
         if entry["kind"] == WRITE:
             change = strip_attempt(entry["request_id"])
@@ -74,8 +75,8 @@
     return effects
 
 
-def find_added(before: Any, after: Any) -> list[Any]:
-    """Return what was appended to a list; nothing where the rows are no lists."""
+def find_appended(before: Any, after: Any) -> list[Any]:
+    """Return the items appended to a list; none if the row doesn't hold a list."""
     if not isinstance(after, list):
         return []
     known = before if isinstance(before, list) else []
@@ -85,17 +86,17 @@
 def read_executions(
     group: str, instance: str, executions: Iterable[dict[str, Any]]
 ) -> list[Execution]:
-    """Return what an instance was asked to run."""
+    """Return the executions that an instance recorded."""
     return [
         Execution(
             group=group,
             instance=instance,
-            time_ms=one["time_ms"],
-            op=one["op"],
-            workspace=one["workspace"],
-            change=strip_attempt(one["request_id"]),
-            endpoint_id=one["request_id"],
-            outcome=one["outcome"],
+            time_ms=execution["time_ms"],
+            op=execution["op"],
+            workspace=execution["workspace"],
+            change=strip_attempt(execution["request_id"]),
+            endpoint_id=execution["request_id"],
+            outcome=execution["outcome"],
         )
-        for one in executions
+        for execution in executions
     ]
--- a/standins/exchange.py
+++ b/standins/exchange.py
@@ -1,4 +1,4 @@
-"""HTTP requests over connections of the runtime, kept alive and lent out."""
+"""HTTP requests over a pool of keep-alive connections."""
 
 import contextlib
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """An answer read to its end; the names of `headers` are in lower case."""
+    """A complete answer; the names of its headers are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -29,39 +29,39 @@
         self.is_complete = False
 
     def on_message_begin(self) -> None:
-        """Refuse a second answer, whose parts would mix with those of the first."""
+        """Reject a second answer, which would be mixed up with the first."""
         if self.is_complete:
             raise ValueError("more than one answer came")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole.
+        """Mark the answer as complete.
 
-        Here alone the parser can tell whether the connection stays open; later it
-        has begun to wait for the next answer and says no.
+        Only in this callback does the parser know whether the connection stays open.
+        Later it expects the next answer, and `should_keep_alive` is always false.
         """
         self.status = self.parser.get_status_code()
         self.keep_alive = self.parser.should_keep_alive()
         self.is_complete = True
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes; raise ConnectionLostError when they can't be."""
+        """Parse the next bytes; raise ConnectionLostError if that fails."""
         if not data:
             raise ConnectionLostError("the daemon closed the connection")
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            raise ConnectionLostError(f"the answer is not one: {error}") from error
+            raise ConnectionLostError(f"the answer is invalid: {error}") from error
 
     def make_answer(self) -> HttpAnswer:
-        """Return the answer once it is whole."""
+        """Return the answer, which must be complete."""
         return HttpAnswer(self.status, self.headers, bytes(self.body), self.keep_alive)
 
 
@@ -79,18 +79,18 @@
         self._connection.send(request)
         reader = AnswerReader()
         while not reader.is_complete:
-            left_ms = end_ms - self._clock.now_ms()
-            if left_ms <= 0:
-                raise TimeoutError(f"no whole answer within {timeout_ms:.0f} ms")
-            self._connection.set_timeout(left_ms)
+            remaining_ms = end_ms - self._clock.now_ms()
+            if remaining_ms <= 0:
+                raise TimeoutError(f"no complete answer within {timeout_ms:.0f} ms")
+            self._connection.set_timeout(remaining_ms)
             reader.feed(self._connection.receive())
         return reader.make_answer()
 
     def is_open(self) -> bool:
         """Return whether an idle connection can be used again.
 
-        A daemon that stops closes its idle connections. A request sent over one of
-        them would be lost, and the run would show a request cut by a planned stop.
+        A daemon that stops closes its idle connections. A request sent over one of them
+        would be lost, and would be recorded as cut off by a planned stop.
         """
         self._connection.set_timeout(0)
         try:
@@ -130,7 +130,7 @@
             return idle.pop() if idle else None
 
     def give_back(self, daemon: str, link: HttpLink) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Return a connection to the pool; its last answer must be complete."""
         with self._lock:
             self._idle[daemon].append(link)
 
@@ -148,7 +148,7 @@
 def build_request(
     method: str, path: str, headers: dict[str, str], body: bytes = b""
 ) -> bytes:
-    """Return a request of HTTP/1.1 that keeps the connection open."""
+    """Return the bytes of an HTTP/1.1 request that keeps the connection open."""
     lines = [f"{method} {path} HTTP/1.1", "Host: bronzerelay"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     lines += [f"Content-Length: {len(body)}", "", ""]
--- a/standins/naive.py
+++ b/standins/naive.py
@@ -1,4 +1,4 @@
-"""A naive store that is plainly right, to compare the whole system with."""
+"""A reference store, simple enough to be correct, to compare the whole system with."""
 
 from typing import Any
 
@@ -9,8 +9,8 @@
 class NaiveStore:
     """The rows of one database group in a plain dict, behind one lock.
 
-    It runs one statement after another, never loses one and never lags: whatever a
-    session sees through the proxy must be what it would have seen here.
+    It runs statements one at a time, without loss or lag. A session must see through
+    the proxy what it would have seen here.
     """
 
     def __init__(self, runtime: Runtime):
@@ -21,8 +21,8 @@
     def run(self, statement: Statement, idempotency_key: str = "") -> Any:
         """Return the statement's value; raise ValueError when it is invalid.
 
-        A statement whose key was seen before changes nothing and is answered as it
-        was the first time.
+        A statement whose idempotency key is known changes nothing and gets the answer
+        of the first one.
         """
         return self.run_all([statement], idempotency_key)[0]
 
--- a/standins/rates.py
+++ b/standins/rates.py
@@ -1,22 +1,22 @@
-"""Replays requests through a token bucket, to judge what was admitted and refused."""
+"""Replays requests through a token bucket, to check what was admitted and refused."""
 
 import bisect
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from bronzerelay.codes import RAN
-from standins.evidence import Evidence, name_change
+from standins.evidence import Evidence, get_change_name
 from standins.record import Entry
 from standins.violations import RateExceeded
 
 SECOND_MS = 1000
 STATEMENT = "statement"
-# Ending a transaction takes no token.
+# Actions that take a token; ending a transaction takes none.
 COUNTED_ACTIONS = frozenset({STATEMENT, "begin"})
-# Sums of fractions of tokens are off by less than this.
+# Upper bound of the rounding errors in sums of tokens.
 TOLERANCE = 1e-6
-# Too many requests, and service unavailable: what a request inside its rate must
-# not be told.
+# HTTP statuses that a request within its rate should not get: "too many requests" and
+# "service unavailable".
 REFUSED_STATUSES = frozenset({429, 503})
 
 
@@ -30,7 +30,7 @@
 
 
 class Admission(NamedTuple):
-    """A request that was admitted at some time from `sent_ms` to `latest_ms`."""
+    """A request that was admitted at some time between `sent_ms` and `latest_ms`."""
 
     latest_ms: float
     sent_ms: float
@@ -47,7 +47,7 @@
         self.tokens = self.limit.burst
 
     def advance(self, now_ms: float) -> None:
-        """Move on to `now_ms` and add the tokens that came meanwhile."""
+        """Advance to `now_ms` and add the tokens that accrued meanwhile."""
         while self._limits and self._limits[0].from_ms <= now_ms:
             self._refill(self._limits[0].from_ms)
             self.limit = self._limits.pop(0)
@@ -74,38 +74,38 @@
 ) -> list[RateExceeded]:
     """Return the requests that ran beyond their workspace's rate and burst.
 
-    When a daemon admitted a request is not seen, only that it did so between the
-    sending and the answer, and before the endpoint ran it. A workspace got too much
-    when some window certainly holds more admissions than the burst and what the rate
-    gives in it. So no delay on the way can make a false finding, and every window in
-    which too much must have passed is found.
+    The time at which a daemon admitted a request is unknown, except that it lies
+    between the sending and the answer, and before the endpoint ran the request. A
+    workspace exceeded its limit if some time window certainly contains more admissions
+    than the burst plus the tokens that the rate gives in it. So no delay can cause a
+    false violation, and every window that certainly exceeds the limit is found.
     """
     limits = list(limits)
     by_workspace = collect_admissions(record, evidence)
-    found = []
+    violations = []
     for workspace, admissions in by_workspace.items():
         own = [limit for limit in limits if limit.workspace == workspace]
         if own:
-            found += replay_admissions(admissions, own)
-    return found
+            violations += find_excess_admissions(admissions, own)
+    return violations
 
 
 def collect_admissions(
     record: Iterable[Entry], evidence: Evidence
 ) -> dict[str, list[Admission]]:
-    """Return for each workspace the requests that certainly were admitted."""
-    first_ms: dict[str, float] = {}
+    """Return the requests of each workspace that were certainly admitted."""
+    first_execution_ms: dict[str, float] = {}
     for execution in evidence.executions:
-        # Reads stand there without a name, and a settle runs without a token.
+        # Executions of reads have no name, and a settle takes no token.
         if not execution.change or execution.op != "write":
             continue
-        known_ms = first_ms.get(execution.change, float("inf"))
-        first_ms[execution.change] = min(known_ms, execution.time_ms)
+        known_ms = first_execution_ms.get(execution.change, float("inf"))
+        first_execution_ms[execution.change] = min(known_ms, execution.time_ms)
     admissions: dict[str, list[Admission]] = {}
     for entry in record:
-        executed_ms = first_ms.get(name_change(entry), float("inf"))
-        # One that was sent again is judged by its own answer: the execution may
-        # belong to an earlier attempt.
+        executed_ms = first_execution_ms.get(get_change_name(entry), float("inf"))
+        # An execution outside of the request's time may belong to an earlier attempt;
+        # then only the request's own answer counts.
         executed = entry.sent_ms <= executed_ms <= entry.answered_ms
         if entry.action not in COUNTED_ACTIONS or not (entry.ran == RAN or executed):
             continue
@@ -115,43 +115,45 @@
     return admissions
 
 
-def replay_admissions(
+def find_excess_admissions(
     admissions: list[Admission], limits: list[RateLimit]
 ) -> list[RateExceeded]:
-    """Return the admissions of one workspace that some window had no room for.
+    """Return the admissions of one workspace that exceed its limit in some window.
 
-    Each is tried in the order of the latest times, against all windows that begin
-    with an earlier one's sending; one without room is found and left out after that,
-    or all that come after would be found too.
+    They are checked in the order of their latest times, each against all windows that
+    begin when it or an earlier one was sent. An admission that exceeds a window is left
+    out from then on, as otherwise all later ones would exceed that window too.
     """
     limits = sorted(limits, key=lambda limit: limit.from_ms)
     sent_ms: list[float] = []
-    # For each window's beginning: the burst then, less what the rate gave before.
+    # For each window's start: the burst at that time, less the tokens given before it.
     bases: list[float] = []
-    found = []
-    for one in sorted(admissions):
-        place = bisect.bisect_right(sent_ms, one.sent_ms)
-        burst = find_limit(limits, one.sent_ms).burst
-        base = burst - sum_rate(limits, one.sent_ms) + TOLERANCE
-        given = sum_rate(limits, one.latest_ms)
-        counts = range(len(sent_ms) + 1, len(sent_ms) - place, -1)
-        pairs = zip([*bases[:place], base], counts, strict=True)
-        if all(count <= given + room for room, count in pairs):
-            sent_ms.insert(place, one.sent_ms)
-            bases.insert(place, base)
+    violations = []
+    for admission in sorted(admissions):
+        index = bisect.bisect_right(sent_ms, admission.sent_ms)
+        burst = find_limit(limits, admission.sent_ms).burst
+        base = burst - sum_tokens(limits, admission.sent_ms) + TOLERANCE
+        given = sum_tokens(limits, admission.latest_ms)
+        counts = range(len(sent_ms) + 1, len(sent_ms) - index, -1)
+        pairs = zip([*bases[:index], base], counts, strict=True)
+        if all(count <= given + window_base for window_base, count in pairs):
+            sent_ms.insert(index, admission.sent_ms)
+            bases.insert(index, base)
         else:
-            found.append(exceed(one, find_limit(limits, one.latest_ms)))
-    return found
+            violations.append(
+                make_violation(admission, find_limit(limits, admission.latest_ms))
+            )
+    return violations
 
 
 def find_limit(limits: list[RateLimit], time_ms: float) -> RateLimit:
-    """Return the limit in force at `time_ms`; the first one before any is."""
+    """Return the limit in force at `time_ms`, or the first one before that begins."""
     in_force = [limit for limit in limits if limit.from_ms <= time_ms]
     return in_force[-1] if in_force else limits[0]
 
 
-def sum_rate(limits: list[RateLimit], time_ms: float) -> float:
-    """Return the tokens that the rates have given from time zero to `time_ms`."""
+def sum_tokens(limits: list[RateLimit], time_ms: float) -> float:
+    """Return the tokens that the rates give from time zero to `time_ms`."""
     ends_ms = [limit.from_ms for limit in limits[1:]] + [float("inf")]
     tokens = 0.0
     for limit, end_ms in zip(limits, ends_ms, strict=True):
@@ -160,8 +162,8 @@
     return tokens
 
 
-def exceed(admission: Admission, limit: RateLimit) -> RateExceeded:
-    """Return the violation for an admission that no token was left for."""
+def make_violation(admission: Admission, limit: RateLimit) -> RateExceeded:
+    """Return the violation for an admission for which no token was left."""
     return RateExceeded(
         admission.request_id,
         limit.workspace,
@@ -174,24 +176,23 @@
 def find_wrongful_refusals(
     record: Iterable[Entry], limits: Iterable[RateLimit]
 ) -> list[Entry]:
-    """Return the requests refused for want of room that one bucket would have let in.
+    """Return the refused requests that a single token bucket would have admitted.
 
-    It is a measure, not a promise.
+    Their number is a measurement: the product doesn't promise that there are none.
     """
-    inside = find_within_rate(record, limits)
-    return [entry for entry in inside if entry.status in REFUSED_STATUSES]
+    within_rate = find_within_rate(record, limits)
+    return [entry for entry in within_rate if entry.status in REFUSED_STATUSES]
 
 
 def find_within_rate(
     record: Iterable[Entry], limits: Iterable[RateLimit]
 ) -> list[Entry]:
-    """Return the requests inside their workspace's rate: those one bucket would admit.
+    """Return the requests that a single token bucket per workspace would admit.
 
-    The bucket sees the requests in the order in which they were sent, as a single
-    accountant without any delay would.
+    The bucket gets the requests in the order in which they were sent, without delays.
     """
     limits = list(limits)
-    inside = []
+    within_rate = []
     entries = sorted(record, key=lambda entry: entry.sent_ms)
     for workspace in sorted({entry.workspace for entry in entries}):
         own = [limit for limit in limits if limit.workspace == workspace]
@@ -203,5 +204,5 @@
                 continue
             bucket.advance(entry.sent_ms)
             if bucket.take():
-                inside.append(entry)
-    return inside
+                within_rate.append(entry)
+    return within_rate
--- a/standins/record.py
+++ b/standins/record.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-# Codes of the caller itself, for requests that got no answer. The daemons' codes are
-# never below zero.
+# Codes that the caller sets for requests that got no answer. The daemons' codes are
+# never negative.
 NO_ANSWER = -1
 UNREACHABLE = -2
 
@@ -17,10 +17,10 @@
 class Entry(NamedTuple):
     """One request and its answer; times are milliseconds of the steady clock.
 
-    `caller` names the session, `due_ms` is when the request should have been sent.
-    `session_before` is the token that went with it, `session_after` the one that the
-    session holds afterwards. `answered_id` is the request id that the answer carries,
-    `retry_after_s` the header of that name, and `fields` those of the answer's body.
+    `caller` is the name of the session; `due_ms` is when the request should have been
+    sent. `session_before` is the token that was sent with it, `session_after` the
+    session's token afterwards. `answered_id` is the request id in the answer,
+    `retry_after_s` its Retry-After header, and `fields` the names in its body.
     """
 
     due_ms: float
@@ -54,7 +54,7 @@
 
     @property
     def latency_ms(self) -> float:
-        """Milliseconds from the time at which the request was due."""
+        """Milliseconds from the time at which the request was due to its answer."""
         return self.answered_ms - self.due_ms
 
     @property
@@ -69,11 +69,11 @@
 
 
 def save_record(entries: Iterable[Entry], path: Path) -> None:
-    """Write the record, one JSON list on each line."""
+    """Write the record with one JSON list per line."""
     path.write_bytes(b"".join(msgspec.json.encode(entry) + b"\n" for entry in entries))
 
 
 def load_record(path: Path) -> list[Entry]:
-    """Return the record that `save_record` wrote."""
+    """Return a record that `save_record` wrote."""
     lines = path.read_bytes().splitlines()
     return [msgspec.json.decode(line, type=Entry) for line in lines]
--- a/standins/violations.py
+++ b/standins/violations.py
@@ -1,10 +1,10 @@
-"""The ways in which a run can break a promise, each naming the request at fault."""
+"""The ways in which a run can break a promise, each with what identifies the breach."""
 
 from typing import NamedTuple
 
 
 class LostWrite(NamedTuple):
-    """A change was acknowledged, and the group doesn't hold it."""
+    """A change was acknowledged, but the group doesn't hold it."""
 
     request_id: str
     change: str
@@ -27,7 +27,7 @@
 
 
 class FalseNotRun(NamedTuple):
-    """Every answer said "not run", and the change took effect."""
+    """Every answer said "not run", but the change took effect."""
 
     request_id: str
     change: str
@@ -39,7 +39,7 @@
 
 
 class RanTwice(NamedTuple):
-    """A request that may not be repeated ran at endpoints more than once."""
+    """A request that must not be repeated ran at endpoints more than once."""
 
     request_id: str
     change: str
@@ -47,11 +47,11 @@
 
     def __str__(self) -> str:
         where = ", ".join(self.instances)
-        return f"{self.request_id}: not repeatable, and ran at {where}"
+        return f"{self.request_id}: not repeatable, but ran at {where}"
 
 
 class SentAgain(NamedTuple):
-    """A request that may not be repeated reached endpoints under several ids."""
+    """A request that must not be repeated reached endpoints under several ids."""
 
     request_id: str
     change: str
@@ -59,7 +59,7 @@
 
     def __str__(self) -> str:
         ids = ", ".join(self.endpoint_ids)
-        return f"{self.request_id}: not repeatable, and sent as {ids}"
+        return f"{self.request_id}: not repeatable, but sent as {ids}"
 
 
 class StaleRead(NamedTuple):
@@ -83,11 +83,11 @@
     found: str
 
     def __str__(self) -> str:
-        return f"{self.request_id}: the answer is another's: {self.found}"
+        return f"{self.request_id}: answer of another request: {self.found}"
 
 
 class RateExceeded(NamedTuple):
-    """A request that no time within it could have been admitted at."""
+    """A request that exceeds its workspace's limit whenever it was admitted."""
 
     request_id: str
     workspace: str
@@ -101,7 +101,7 @@
 
 
 class BrokenRefusal(NamedTuple):
-    """A refusal that doesn't say what docs/CODES.md promises."""
+    """A refusal that differs from what docs/CODES.md promises."""
 
     request_id: str
     code: int
@@ -123,7 +123,7 @@
 
 
 class BrokenTransaction(NamedTuple):
-    """A transaction whose changes are not there all together, or mixed."""
+    """A transaction whose changes were not applied as a whole, or were mixed."""
 
     transaction: str
     what: str
@@ -132,14 +132,14 @@
         return f"transaction {self.transaction}: {self.what}"
 
 
-class KeySeen(NamedTuple):
-    """A workspace's key where no key may be."""
+class KeyLeaked(NamedTuple):
+    """A workspace's key in a place that must not contain keys."""
 
     workspace: str
     place: str
 
     def __str__(self) -> str:
-        return f"the key of {self.workspace} stands in {self.place}"
+        return f"the key of {self.workspace} occurs in {self.place}"
 
 
 Violation = (
@@ -154,5 +154,5 @@
     | BrokenRefusal
     | Unanswered
     | BrokenTransaction
-    | KeySeen
+    | KeyLeaked
 )
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -7,8 +7,8 @@
     check_all_answered,
     check_answers,
     check_keys,
-    check_once,
     check_refusals,
+    check_repeats,
     check_sessions,
     check_transactions,
     check_writes,
@@ -23,7 +23,7 @@
     DoubledWrite,
     FalseNotRun,
     ForeignAnswer,
-    KeySeen,
+    KeyLeaked,
     LostWrite,
     RanTwice,
     RateExceeded,
@@ -131,11 +131,11 @@
     first = build_execution(change)
     second = build_execution(change, instance="orders-2", endpoint_id="k#2")
     evidence = build_evidence(executions=[first, second])
-    assert check_once([entry], evidence) == [
+    assert check_repeats([entry], evidence) == [
         RanTwice("a", change, ("orders-1", "orders-2")),
         SentAgain("a", change, (f"{change}#1", "k#2")),
     ]
-    assert check_once([entry._replace(repeatable=True)], evidence) == []
+    assert check_repeats([entry._replace(repeatable=True)], evidence) == []
 
 
 # Sessions and answers
@@ -373,7 +373,9 @@
     has the workspace's key.
     """
     places = {"orders-1": b'{"key": "secret"}', "the log": b"nothing"}
-    assert check_keys({WORKSPACE: "secret"}, places) == [KeySeen(WORKSPACE, "orders-1")]
+    assert check_keys({WORKSPACE: "secret"}, places) == [
+        KeyLeaked(WORKSPACE, "orders-1")
+    ]
 
 
 def test_effects_are_read_from_a_log():
