--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""Starts a whole deployment as processes on loopback, and ends all of them."""
+"""Starts a whole deployment as processes on loopback, and ends every one of them."""
 
 import atexit
 import contextlib
@@ -62,10 +62,10 @@
 
 
 class Cluster:
-    """A deployment on stand-ins: the platform, the groups' instances, the daemons.
+    """A deployment on stand-ins: the platform, the groups' instances and the daemons.
 
-    Use it as a context manager; whatever happens in the block, every process is
-    ended by its pid. `keys` holds a key for each workspace, `folder` the logs.
+    It is a context manager: at the end of the block, also after an error, every process
+    is ended by its pid. `keys` holds a key for each workspace, `folder` the logs.
     """
 
     def __init__(
@@ -92,8 +92,8 @@
         names = [PLATFORM, *self.endpoint_names, *self.daemon_names]
         peers = [_name_peer(name) for name in self.daemon_names]
         self._reserved = reserve_addresses(runtime, len(names) + len(peers))
-        free = [listener.address for listener in self._reserved]
-        self.addresses = dict(zip(names + peers, free, strict=True))
+        addresses = [listener.address for listener in self._reserved]
+        self.addresses = dict(zip(names + peers, addresses, strict=True))
         self.platform = PlatformAdmin(runtime, self.addresses[PLATFORM])
         self._add_processes()
 
@@ -110,7 +110,7 @@
         return self
 
     def __exit__(self, kind: Any, error: Any, traceback: Any) -> None:
-        # The logs of a run that failed are what explains it.
+        # The logs of a failed run are needed to explain the failure.
         self._keep_logs = self._keep_logs or kind is not None
         self.close()
 
@@ -119,8 +119,8 @@
         self._start_together([PLATFORM])
         for name in self.daemon_names:
             self.set_vm(name, "live")
-        # All at once: followers ask again until their primary listens, and daemons
-        # look at no endpoint before a bundle is in force.
+        # They may start in any order: replicas retry until their primary listens, and
+        # daemons connect to no endpoint before a bundle is in force.
         self._start_together([*self.endpoint_names, *self.daemon_names])
 
     def close(self) -> None:
@@ -134,7 +134,7 @@
             self.remove_logs()
 
     def remove_logs(self) -> None:
-        """Remove the logs, which a run that failed has left."""
+        """Remove the logs, which are kept after a failed run."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
     @property
@@ -144,12 +144,12 @@
 
     @property
     def daemon_addresses(self) -> dict[str, Address]:
-        """Where callers reach each daemon."""
+        """The addresses on which the daemons serve callers."""
         return {name: self.addresses[name] for name in self.daemon_names}
 
     @property
     def rate_limits(self) -> list[RateLimit]:
-        """The workspaces' limits as the layout gives them, for the checks."""
+        """The workspaces' limits in the layout, for the checks."""
         return [
             RateLimit(workspace.name, workspace.rate, workspace.burst)
             for workspace in self.layout.workspaces
@@ -160,26 +160,26 @@
     def start(self, name: str) -> None:
         """Start a daemon that was stopped, and wait until it listens.
 
-        Endpoints and the platform keep everything in memory. One that came back
-        empty would break promises that only a lost disk could break in earnest, so
-        these stay down: use `freeze`, or a fault, for one that is to come back.
+        Endpoints and the platform keep their data in memory. One that restarted empty
+        would break promises that only a lost disk can break in a real deployment, so
+        they can't be restarted. Use `freeze` or a fault for an outage that ends.
         """
         if name not in self.daemon_names:
-            raise ClusterError(f"{name} lost its data when it ended; it can't return")
+            raise ClusterError(f"{name} lost its data when it ended; it can't restart")
         self._start_together([name])
 
     def stop(self, name: str, timeout_ms: float = STOP_TIMEOUT_MS) -> int:
-        """Ask a process to end (SIGTERM) and return its exit code."""
-        self._find(name).send_signal(signal.SIGTERM)
+        """Send a process SIGTERM, wait for its end and return its exit code."""
+        self._get_process(name).send_signal(signal.SIGTERM)
         return self.wait_stopped(name, timeout_ms)
 
     def begin_stop(self, name: str) -> None:
-        """Ask a process to end (SIGTERM) and return without waiting for it."""
-        self._find(name).send_signal(signal.SIGTERM)
+        """Send a process SIGTERM, and return without waiting for its end."""
+        self._get_process(name).send_signal(signal.SIGTERM)
 
     def wait_stopped(self, name: str, timeout_ms: float = STOP_TIMEOUT_MS) -> int:
-        """Return the exit code of a process that was asked to end."""
-        process = self._find(name)
+        """Return the exit code of a process that was sent SIGTERM."""
+        process = self._get_process(name)
         code = process.wait(timeout_ms)
         if code is None:
             tail = process.read_tail()
@@ -187,34 +187,34 @@
         return code
 
     def kill(self, name: str) -> None:
-        """End a process without warning (SIGKILL)."""
-        self._find(name).kill()
+        """Kill a process with SIGKILL."""
+        self._get_process(name).kill()
 
     def freeze(self, name: str) -> None:
-        """Hold a process where it is (SIGSTOP); its connections stay open."""
-        self._find(name).freeze()
+        """Suspend a process with SIGSTOP; its connections stay open."""
+        self._get_process(name).freeze()
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on (SIGCONT)."""
-        self._find(name).send_signal(signal.SIGCONT)
+        """Resume a frozen process with SIGCONT."""
+        self._get_process(name).send_signal(signal.SIGCONT)
 
     def restart(self, name: str) -> None:
-        """Stop a daemon with SIGTERM, if it still runs, and start it anew."""
-        if self._find(name).is_running():
+        """Stop a daemon with SIGTERM if it is running, and start it again."""
+        if self._get_process(name).is_running():
             self.stop(name)
         self.start(name)
 
     def is_running(self, name: str) -> bool:
-        """Return whether the process runs; a frozen one does."""
-        return self._find(name).is_running()
+        """Return whether a process is running; a frozen one counts as running."""
+        return self._get_process(name).is_running()
 
     def pid(self, name: str) -> int | None:
-        """Return the pid of a process, or None when it doesn't run."""
-        return self._find(name).pid
+        """Return the pid of a process, or None when it isn't running."""
+        return self._get_process(name).pid
 
     def read_log(self, name: str) -> str:
-        """Return all that a process has written."""
-        return self._find(name).read_log()
+        """Return everything that a process has written to its log."""
+        return self._get_process(name).read_log()
 
     # The platform
 
@@ -229,7 +229,7 @@
     # Endpoints
 
     def ask_endpoint(self, name: str, op: str, **fields: Any) -> dict[str, Any]:
-        """Return an endpoint's answer to a fault or record on an admin connection."""
+        """Return an endpoint's answer to an op on an admin connection."""
         with contextlib.closing(self.open_admin(name)) as admin:
             return admin.ask(op, **fields)
 
@@ -238,49 +238,49 @@
         return open_admin(self.runtime, self.addresses[name])
 
     def find_primary(self, group: str) -> str:
-        """Return the name of the group's primary of the highest term."""
-        found = []
+        """Return the name of the group's primary with the highest term."""
+        primaries = []
         for name in name_endpoints(self.layout, group):
             with contextlib.suppress(OSError):
                 status = self.ask_endpoint(name, "status")
                 if status["role"] == "primary":
-                    found.append((status["term"], name))
-        if not found:
+                    primaries.append((status["term"], name))
+        if not primaries:
             raise ClusterError(f"{group} has no primary that answers")
-        return max(found)[1]
+        return max(primaries)[1]
 
     def collect_evidence(self) -> Evidence:
-        """Return what the groups hold and what the running instances were asked.
+        """Return the effects in the groups' logs and the executions at the instances.
 
-        The log of a group is its primary's. An instance that gives no answer, since
-        it was killed or is frozen, adds nothing.
+        The log of a group is that of its primary. An instance that doesn't answer,
+        because it was killed or is frozen, is left out.
         """
         evidence = Evidence([], [])
         for group in self.groups:
             primary = self.find_primary(group)
             for name in name_endpoints(self.layout, group):
                 try:
-                    found = self.ask_endpoint(name, "record")
+                    record = self.ask_endpoint(name, "record")
                 except OSError:
                     continue
-                runs = read_executions(group, name, found["executions"])
-                evidence.executions.extend(runs)
+                executions = read_executions(group, name, record["executions"])
+                evidence.executions.extend(executions)
                 if name == primary:
-                    evidence.effects.extend(read_log(group, found["entries"]))
+                    evidence.effects.extend(read_log(group, record["entries"]))
         return evidence
 
     # Configuration
 
     def build_bundle(self, version: int = 0) -> Bundle:
-        """Return the layout's bundle with the hashes of `keys`, for changes."""
+        """Return the layout's bundle with the hashes of `keys`."""
         hashes = {name: hash_key(key) for name, key in self.keys.items()}
         return build_bundle(self.layout, version, self.addresses, hashes)
 
     def put_bundle(self, bundle: Bundle | None = None) -> int:
-        """Put a bundle (or the layout's) in force as the next version; return that.
+        """Put `bundle`, or the layout's, in force as the next version; return that.
 
-        It is written at the platform itself, without the review and signatures
-        that the command line asks for.
+        It is written to the platform directly, without the review and the signatures
+        that the command line requires.
         """
         current, revision = self.platform.read_value(CONFIG_KEY)
         version = current["version"] + 1 if current else 1
@@ -300,7 +300,7 @@
     def fetch(
         self, name: str, path: str, timeout_ms: float = HTTP_TIMEOUT_MS
     ) -> tuple[int, bytes]:
-        """Return status and body of a GET at a daemon; raise OSError without one."""
+        """Return the status and body of a GET; raise OSError when no answer comes."""
         pool = self.runtime.open_http_pool(self.addresses[name], pool_size=1)
         try:
             response = pool.request("GET", path, timeout=timeout_ms / 1000)
@@ -329,7 +329,7 @@
         names: Iterable[str] | None = None,
         timeout_ms: float = READY_TIMEOUT_MS,
     ) -> None:
-        """Wait until these daemons, or all running ones, are ready with `version`."""
+        """Wait until `names`, or all running daemons, are ready with `version`."""
         if names is None:
             names = [name for name in self.daemon_names if self.is_running(name)]
         for name in names:
@@ -347,23 +347,24 @@
         timeout_ms: float = READY_TIMEOUT_MS,
         name: str = "",
     ) -> None:
-        """Poll until `predicate` holds; raise ClusterError that says `what` else.
+        """Poll until `predicate` holds, or raise a ClusterError that names `what`.
 
-        With the `name` of a process, its end ends the wait and its log is shown.
+        With the `name` of a process, the wait also fails when that process ends, and
+        the error shows the end of its log.
         """
         clock = self.runtime.clock
         end_ms = clock.now_ms() + timeout_ms
         while not predicate():
-            gone = bool(name) and not self.is_running(name)
-            if gone or clock.now_ms() >= end_ms:
-                tail = self._find(name).read_tail() if name else ""
-                why = f"{name} ended" if gone else f"{timeout_ms:.0f} ms passed"
-                raise ClusterError(f"waiting for {what}: {why}\n{tail}")
+            ended = bool(name) and not self.is_running(name)
+            if ended or clock.now_ms() >= end_ms:
+                tail = self._get_process(name).read_tail() if name else ""
+                reason = f"{name} ended" if ended else f"{timeout_ms:.0f} ms passed"
+                raise ClusterError(f"waiting for {what}: {reason}\n{tail}")
             clock.sleep_ms(POLL_MS)
 
-    # Inside
+    # Processes by name
 
-    def _find(self, name: str) -> Process:
+    def _get_process(self, name: str) -> Process:
         if name not in self._processes:
             known = ", ".join(self._processes)
             raise ClusterError(f"no process is named {name!r}; there are: {known}")
@@ -371,10 +372,13 @@
 
     def _start_together(self, names: list[str]) -> None:
         for name in names:
-            self._find(name).start()
+            self._get_process(name).start()
         for name in names:
             wait_until_listening(
-                self.runtime, self._find(name), self.addresses[name], START_TIMEOUT_MS
+                self.runtime,
+                self._get_process(name),
+                self.addresses[name],
+                START_TIMEOUT_MS,
             )
 
     def _add_processes(self) -> None:
--- a/standins/layout.py
+++ b/standins/layout.py
@@ -1,4 +1,4 @@
-"""What a deployment on stand-ins consists of, and the two of our users."""
+"""The layout of a deployment on stand-ins, and the layouts of our two users."""
 
 from typing import NamedTuple
 
@@ -20,7 +20,7 @@
 class Layout(NamedTuple):
     """A deployment: its groups, daemons, failure domains and workspaces.
 
-    `slots` and `connections` are those of each instance. Times are in milliseconds.
+    `slots` and `connections` are per instance. Times are in milliseconds.
     """
 
     groups: tuple[str, ...]
@@ -37,7 +37,7 @@
     seed: int = 1
 
 
-# Three daemons before three groups, as `make demo` starts them.
+# The deployment that `make demo` starts: three daemons and three groups.
 DEMO = Layout(
     groups=("orders", "diets", "kitchens"),
     workspaces=(WorkspaceLayout("caterer-1", rate=50, burst=50),),
@@ -91,12 +91,12 @@
 
 
 def name_daemons(layout: Layout) -> list[str]:
-    """Return the names of the daemons, each of which is a VM."""
+    """Return the names of the daemons; each one is also the name of its VM."""
     return [f"vm-{number}" for number in range(1, layout.daemons + 1)]
 
 
 def pick_domain(layout: Layout, number: int) -> str:
-    """Return the failure domain of the process that is `number` in its row."""
+    """Return the failure domain of the instance or daemon with this number."""
     return layout.failure_domains[number % len(layout.failure_domains)]
 
 
@@ -106,7 +106,7 @@
     addresses: dict[str, Address],
     key_hashes: dict[str, str],
 ) -> Bundle:
-    """Return the bundle for a layout, each workspace with one key and all groups."""
+    """Return the bundle of a layout; each workspace has one key and all groups."""
     groups = [build_group(layout, group, addresses) for group in layout.groups]
     workspaces = [
         build_workspace(layout, workspace, key_hashes[workspace.name])
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""An open-loop load: requests go out at times fixed beforehand."""
+"""An open-loop load: requests are sent at times that are fixed beforehand."""
 
 import itertools
 import signal
@@ -28,7 +28,7 @@
 
 
 class Load:
-    """A load that runs beside its starter; `record` grows while it runs."""
+    """A load that runs in the background and adds its requests to `record`."""
 
     def __init__(
         self,
@@ -45,30 +45,30 @@
         self._daemons = sorted(addresses)
         draw = runtime.make_random(settings.seed)
         self.schedule = build_schedule(draw, settings, sorted(addresses))
-        self._waiting = iter(self.schedule)
+        self._arrivals = iter(self.schedule)
         self._lock = runtime.make_lock()
         self._idle: dict[str, list[Caller]] = {name: [] for name in settings.rates}
-        self._numbers = itertools.count(1)
+        self._caller_numbers = itertools.count(1)
         self._tasks: list[Any] = []
         self._start_ms = 0.0
 
     def start(self) -> None:
-        """Begin to send, and return at once."""
+        """Begin to send requests, and return at once."""
         self._start_ms = self._runtime.clock.now_ms() + START_DELAY_MS
         count = min(self.settings.workers, len(self.schedule))
         self._tasks = [self._runtime.start(self._work) for _ in range(count)]
 
     def wait(self) -> list[Entry]:
-        """Return the record once every request has its answer."""
+        """Return the record once every request has been answered."""
         for task in self._tasks:
             task.result()
         self._links.close()
         return self.record
 
     def stop(self) -> None:
-        """Send nothing more; requests on their way still get their answers."""
+        """Send no further requests; those already sent are still answered."""
         with self._lock:
-            self._waiting = iter(())
+            self._arrivals = iter(())
 
     def _work(self) -> None:
         clock = self._runtime.clock
@@ -83,15 +83,15 @@
 
     def _take_arrival(self) -> Arrival | None:
         with self._lock:
-            return next(self._waiting, None)
+            return next(self._arrivals, None)
 
     def _take_caller(self, workspace: str) -> Caller:
-        # A session runs one request after another: with two at once, the token of
-        # the later change could be overwritten by that of the earlier one.
+        # A session runs one request at a time. With two at once, the session token of
+        # the earlier change could overwrite that of the later one.
         with self._lock:
             if self._idle[workspace]:
                 return self._idle[workspace].pop(0)
-            name = f"{workspace}/{self.settings.label}/{next(self._numbers)}"
+            name = f"{workspace}/{self.settings.label}/{next(self._caller_numbers)}"
         settings = CallerSettings(
             name, workspace, self._keys[workspace], self.settings.timeout_ms
         )
@@ -109,7 +109,7 @@
             entry = self._send_balanced(caller, request, "", due_ms)
 
     def _run_transaction(self, caller: Caller, arrival: Arrival, due_ms: float) -> None:
-        """Append to two rows in a transaction; roll back when one is refused."""
+        """Append to two rows in a transaction; roll it back when one is refused."""
         begin = StatementRequest(group=arrival.group, action="begin")
         begun = self._send_balanced(caller, begin, arrival.daemon, due_ms)
         if begun.ran != RAN:
@@ -128,10 +128,10 @@
     def _send_balanced(
         self, caller: Caller, request: StatementRequest, daemon: str, due_ms: float
     ) -> Entry:
-        """Send a request, and try other daemons as a balancer would.
+        """Send a request, and try other daemons as a load balancer would.
 
-        A balancer tries the next VM when one refuses the connection. Counted as
-        refusals of the system, the connections to a dead VM would hide the rest.
+        A load balancer tries the next VM when one refuses the connection. If refused
+        connections to a dead VM counted as failed requests, they would hide the others.
         """
         entry = caller.send(request, daemon, due_ms)
         others = [name for name in self._daemons if name != daemon]
@@ -163,7 +163,7 @@
 
 
 def end_on_sigterm() -> None:
-    """Let SIGTERM end this process as Ctrl-C does, so that children end too."""
+    """Raise KeyboardInterrupt on SIGTERM, so that child processes are ended too."""
 
     def end(number: int, frame: Any) -> None:
         raise KeyboardInterrupt
@@ -172,7 +172,7 @@
 
 
 def parse_daemons(texts: tuple[str, ...]) -> dict[str, Address]:
-    """Return the addresses of daemons given as NAME=HOST:PORT."""
+    """Return the addresses of daemons that are given as NAME=HOST:PORT."""
     daemons = {}
     for text in texts:
         name, _, address = text.partition("=")
@@ -190,7 +190,7 @@
     multiple=True,
     required=True,
     metavar="NAME=HOST:PORT",
-    help="A daemon to send to; give one for each.",
+    help="A daemon to send requests to; repeat the option for several.",
 )
 @click.option(
     "--workspace",
@@ -199,7 +199,7 @@
     required=True,
     type=(str, str, float),
     metavar="NAME KEY RATE",
-    help="A workspace with its key and its requests a second.",
+    help="A workspace with its key and its requests per second.",
 )
 @click.option(
     "--group", "groups", multiple=True, required=True, help="A database group to use."
@@ -217,7 +217,7 @@
     "--record",
     "record_path",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Write the record to this file, one JSON list on each line.",
+    help="Write the record to this file, one JSON list per line.",
 )
 def main(
     daemons: tuple[str, ...],
@@ -232,11 +232,12 @@
     seed: int | None,
     record_path: Path | None,
 ) -> None:
-    """Load running daemons and print what came of each request.
+    """Load running daemons and print a summary of the answers.
 
-    Requests go out at times fixed beforehand, whether or not earlier ones have been
-    answered, and latency counts from those times: a stall shows. Example:
+    Requests are sent at times that are fixed beforehand, whether or not earlier ones
+    have been answered. Latency counts from those times, so that it includes stalls.
 
+    Example:
     \b
         python -m standins.caller --daemon vm-1=127.0.0.1:8101 \\
             --workspace caterer-1 KEY 50 --group orders --seconds 10
--- a/standins/operators.py
+++ b/standins/operators.py
@@ -1,4 +1,4 @@
-"""Operators who use the command line, each with a name and a key of their own."""
+"""Operators who use the command line, each with their own name and key."""
 
 import json
 import subprocess
@@ -15,11 +15,11 @@
 
 
 class CommandError(Exception):
-    """A command ended otherwise than it should; the message holds its output."""
+    """A command ended with an unexpected exit code; the message holds its output."""
 
 
 class Operator:
-    """Somebody who runs commands against a cluster's platform and daemons."""
+    """An operator, who runs commands against a cluster's platform and daemons."""
 
     def __init__(self, cluster: Cluster, name: str):
         self.name = name
@@ -29,7 +29,10 @@
         self.entry = OperatorEntry(name=name, public_key=made["public_key"])
 
     def run(self, *arguments: str, key: bool = True, code: int = 0) -> dict[str, Any]:
-        """Run a command and return its JSON; raise CommandError on another code."""
+        """Run a command and return its JSON output.
+
+        Raise CommandError on another exit code than `code`.
+        """
         cluster = self._cluster
         daemons = [str(address) for address in cluster.daemon_addresses.values()]
         environment = {
@@ -49,22 +52,22 @@
             timeout=TIMEOUT_S,
         )
         if done.returncode != code:
-            shown = (done.stdout + done.stderr).strip()
+            output = (done.stdout + done.stderr).strip()
             raise CommandError(
-                f"{' '.join(arguments)} ended with {done.returncode}: {shown}"
+                f"{' '.join(arguments)} ended with {done.returncode}: {output}"
             )
         return json.loads(done.stdout) if done.stdout.strip() else {}
 
 
 def write_bundle_file(cluster: Cluster, bundle: Bundle) -> str:
-    """Write `bundle` as operators keep it, and return the file's path."""
+    """Write `bundle` to a bundle file, and return the file's path."""
     path = cluster.folder / f"bundle-{bundle['version']}.toml"
     path.write_text(write_bundle(bundle))
     return str(path)
 
 
 def roll_out(author: Operator, second: Operator, path: str) -> dict[str, Any]:
-    """Propose the file, let a second operator sign it, and put it in force."""
+    """Propose the bundle file, let a second operator sign it, and roll it out."""
     proposed = author.run("bundle", "propose", path)
     second.run("bundle", "sign", proposed["digest"])
     return author.run("bundle", "rollout", proposed["digest"])
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts processes on loopback, and ends every one of them by its pid."""
+"""Starts processes that listen on loopback, and ends each one by its pid."""
 
 import contextlib
 import itertools
@@ -12,26 +12,26 @@
 
 HOST = "127.0.0.1"
 ROOT = Path(__file__).resolve().parent.parent
-# Below the ports that the kernel hands to outgoing connections. A port out of that
-# range can be taken by a connection while its daemon is down, and the daemon would
-# then not come back: "address already in use".
+# Below the kernel's ephemeral ports. An outgoing connection can take a port of that
+# range while its daemon is down, and the daemon could then not restart: "address
+# already in use".
 FIRST_PORT = 12000
 LAST_PORT = 31000
 PORT_STRIDE = 131
 POLL_MS = 20
 LOG_TAIL_LINES = 15
 
-# Each process begins somewhere else and never looks at a port twice in a row. Two
-# test runs that began alike would find the same port free, and one would lose it.
+# Each test process begins at another port and tries every port only once per round. If
+# two test runs began at the same port, both would find it free and one would lose it.
 _ports = itertools.count(os.getpid() * PORT_STRIDE)
 
 
 class ClusterError(Exception):
-    """A process of the deployment did not do what was asked of it."""
+    """A process of the deployment did not start, stop or answer as it should."""
 
 
 class Process:
-    """One process with its log file; `start` and the others act on its pid."""
+    """One process with its log file; signals are sent to its pid."""
 
     def __init__(self, name: str, module: str, flags: list[str], folder: Path):
         self.name = name
@@ -41,20 +41,20 @@
 
     @property
     def pid(self) -> int | None:
-        """The pid, or None while it isn't running."""
+        """The pid, or None while the process isn't running."""
         return self._child.pid if self.is_running() else None
 
     def is_running(self) -> bool:
-        """Return whether the process was started and hasn't ended."""
+        """Return whether the process has been started and hasn't ended."""
         return self._child is not None and self._child.poll() is None
 
     def start(self) -> None:
-        """Start the process; its log goes on where it was."""
+        """Start the process; it appends to its log."""
         if self.is_running():
             raise ClusterError(f"{self.name} is running already")
         with self.log_path.open("ab") as log:
-            # A session of its own: Ctrl-C at the terminal would else reach the
-            # children at once, and look to a test like a crash of each of them.
+            # In a session of its own, since Ctrl-C at the terminal would otherwise end
+            # the children too, which a test would take for a crash of each of them.
             self._child = subprocess.Popen(
                 self._command,
                 stdin=subprocess.DEVNULL,
@@ -71,17 +71,17 @@
         os.kill(self._child.pid, number)
 
     def freeze(self) -> None:
-        """Stop the process where it is, and return once it has stopped.
+        """Suspend the process with SIGSTOP, and return once it has stopped.
 
-        The signal is delivered some time after it is sent; a test that went on at
-        once would still be answered, and take the frozen process for a live one.
+        The signal takes effect some time after it is sent. Without the wait, a test
+        could still get an answer from a process that it assumes to be frozen.
         """
         self.send_signal(signal.SIGSTOP)
-        # Neither a stop nor an end is taken away from Popen here.
+        # WNOWAIT leaves the state to be collected by Popen later.
         os.waitid(os.P_PID, self._child.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
 
     def wait(self, timeout_ms: float) -> int | None:
-        """Return the exit code, or None when it still runs after the timeout."""
+        """Return the exit code, or None if the process still runs after the timeout."""
         if self._child is None:
             return None
         try:
@@ -90,7 +90,7 @@
             return None
 
     def kill(self) -> None:
-        """End the process without warning; one that has ended stays so."""
+        """Kill the process with SIGKILL, if it is running."""
         if not self.is_running():
             return
         with contextlib.suppress(ProcessLookupError):
@@ -98,7 +98,7 @@
         self._child.wait()
 
     def read_log(self) -> str:
-        """Return all that the process has written."""
+        """Return everything that the process has written to its log."""
         if not self.log_path.exists():
             return ""
         return self.log_path.read_text(errors="replace")
@@ -110,24 +110,27 @@
 
 
 def reserve_addresses(runtime: Runtime, count: int) -> list[Listener]:
-    """Return `count` loopback ports, held for processes that are started on them.
+    """Return `count` loopback ports, reserved for processes that will listen on them.
 
-    Whoever starts a process closes its listener after that has ended for good. The port
-    of a process that is restarted would go to another test run meanwhile, whose process
-    would be taken for the restarted one.
+    Close the listener of a port only when its process has ended for good. Otherwise
+    another test run could get the port during a restart, and its process would be taken
+    for the restarted one.
     """
-    held: list[Listener] = []
-    while len(held) < count:
+    listeners: list[Listener] = []
+    while len(listeners) < count:
         port = FIRST_PORT + next(_ports) % (LAST_PORT - FIRST_PORT)
         with contextlib.suppress(OSError):
-            held.append(runtime.reserve_port(Address(HOST, port)))
-    return held
+            listeners.append(runtime.reserve_port(Address(HOST, port)))
+    return listeners
 
 
 def wait_until_listening(
     runtime: Runtime, process: Process, address: Address, timeout_ms: float
 ) -> None:
-    """Return once `address` accepts; raise ClusterError with the log's end if not."""
+    """Return once `address` accepts connections.
+
+    If it doesn't, raise a ClusterError that holds the end of the process's log.
+    """
     end_ms = runtime.clock.now_ms() + timeout_ms
     while runtime.clock.now_ms() < end_ms:
         if not process.is_running():
--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a load: what is sent, by whom, where to and when."""
+"""The schedule of a load: which request is sent by whom, to which daemon and when."""
 
 from typing import Literal, NamedTuple
 
@@ -9,16 +9,16 @@
 
 
 class LoadSettings(NamedTuple):
-    """What a load consists of; a share is a fraction of one.
-
-    `rates` gives the requests a second of each workspace. `once_share` of the writes
-    may not be repeated; the others are sent again, with the same idempotency key,
-    when their outcome is unknown, `resends` times at most. `transaction_share` of the
-    writes are transactions of two appends. `age_share` of the reads
-    accept data up to `max_age_ms` old. With the spread `one` all requests of a
-    workspace go to one daemon, with `moving` to another one every `move_ms`. `label`
-    is part of the names of rows and sessions: two loads on one deployment need two,
-    or each would read what only the other's record explains.
+    """The settings of a load; shares are fractions between 0 and 1.
+
+    `rates` holds the requests per second of each workspace. `once_share` of the writes
+    must not be repeated; the others are sent again with the same idempotency key when
+    their outcome is unknown, at most `resends` times. `transaction_share` of the writes
+    are transactions of two appends. `age_share` of the reads accept data up to
+    `max_age_ms` old. With the spread `one`, all requests of a workspace go to one
+    daemon; with `moving`, to another daemon every `move_ms`. `label` is part of the
+    names of rows and sessions. Two loads on one deployment need different labels, or
+    each would read values that only the other's record explains.
     """
 
     rates: dict[str, float]
@@ -45,7 +45,7 @@
 class Arrival(NamedTuple):
     """A request of the schedule; `due_ms` counts from the start of the load.
 
-    The verb `transaction` stands for a whole one, which appends to two rows.
+    The verb `transaction` stands for a whole transaction that appends to two rows.
     """
 
     due_ms: float
@@ -61,12 +61,12 @@
 def build_schedule(
     draw: Random, settings: LoadSettings, daemons: list[str]
 ) -> list[Arrival]:
-    """Return all arrivals in the order of their times; one seed gives one list."""
+    """Return all arrivals, ordered by time; the same seed gives the same arrivals."""
     arrivals = []
     for workspace, rate in sorted(settings.rates.items()):
-        homes = draw.sample(daemons, len(daemons))
+        shuffled_daemons = draw.sample(daemons, len(daemons))
         for due_ms in list_times(draw, settings, rate):
-            daemon = pick_daemon(draw, settings, homes, due_ms)
+            daemon = pick_daemon(draw, settings, shuffled_daemons, due_ms)
             arrivals.append(draw_arrival(draw, settings, workspace, daemon, due_ms))
     return sorted(arrivals)
 
@@ -87,14 +87,14 @@
 
 
 def pick_daemon(
-    draw: Random, settings: LoadSettings, homes: list[str], due_ms: float
+    draw: Random, settings: LoadSettings, shuffled_daemons: list[str], due_ms: float
 ) -> str:
     """Return the daemon that a request goes to."""
     if settings.spread == "one":
-        return homes[0]
+        return shuffled_daemons[0]
     if settings.spread == "moving":
-        return homes[int(due_ms // settings.move_ms) % len(homes)]
-    return draw.choice(homes)
+        return shuffled_daemons[int(due_ms // settings.move_ms) % len(shuffled_daemons)]
+    return draw.choice(shuffled_daemons)
 
 
 def draw_arrival(
@@ -102,8 +102,8 @@
 ) -> Arrival:
     """Return an arrival with a statement drawn at random.
 
-    Numbers and lists live in rows of their own, and each workspace in its own: what
-    one of them reads can then be compared with what it wrote.
+    Numbers and lists have separate rows, and so has each workspace, so that what a
+    workspace reads can be compared with what it wrote.
     """
     is_write = draw.random() < settings.write_share
     is_transaction = is_write and draw.random() < settings.transaction_share
--- a/standins/summary.py
+++ b/standins/summary.py
@@ -1,4 +1,4 @@
-"""Sums up the record of a run for people to read."""
+"""Prints a summary of a run's record as a table."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -13,13 +13,13 @@
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
-DIGITS = 3
-FILE_WIDTH = 120
+SIGNIFICANT_DIGITS = 3
+TABLE_WIDTH = 120
 CALLER_CODES = {NO_ANSWER: "NO_ANSWER", UNREACHABLE: "UNREACHABLE"}
 
 
 class Summary(NamedTuple):
-    """What a workspace, or all of them, got; latencies count from the due time."""
+    """The figures of one workspace or of all; latencies count from the due time."""
 
     requests: int
     ran: int
@@ -31,12 +31,12 @@
 
 
 def summarise(entries: Iterable[Entry]) -> Summary:
-    """Return the figures of these entries; latencies are those of what ran."""
+    """Return the figures of these entries; latencies are of requests that ran."""
     entries = list(entries)
     ran = [entry for entry in entries if entry.ran == RAN]
     reads = [entry for entry in ran if not entry.is_write]
     replica_reads = sum(entry.role == "replica" for entry in reads)
-    histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
     for entry in ran:
         histogram.record_value(max(LOWEST_US, int(entry.latency_ms * 1000)))
     return Summary(
@@ -50,8 +50,8 @@
     )
 
 
-def name_code(code: int) -> str:
-    """Return the name of a result code, the caller's own included."""
+def get_code_name(code: int) -> str:
+    """Return the name of a result code, which may be one of the caller's own."""
     if code in CALLER_CODES:
         return CALLER_CODES[code]
     try:
@@ -61,7 +61,7 @@
 
 
 def print_summary(entries: Iterable[Entry], console: Console | None = None) -> None:
-    """Print a line for each workspace and one for all together."""
+    """Print one row for each workspace and one for all of them together."""
     entries = list(entries)
     table = Table()
     for title in ("workspace", "requests", "ran", "p50 ms", "p99 ms", "worst ms"):
@@ -71,21 +71,21 @@
     names = sorted({entry.workspace for entry in entries})
     for name in names:
         own = [entry for entry in entries if entry.workspace == name]
-        table.add_row(name, *list_cells(summarise(own)))
-    table.add_row("all", *list_cells(summarise(entries)))
+        table.add_row(name, *make_cells(summarise(own)))
+    table.add_row("all", *make_cells(summarise(entries)))
     (console or make_console()).print(table)
 
 
 def make_console() -> Console:
-    """Return a console that is wide enough for the table, also in a file."""
+    """Return a console; when the output is a file, it has the width of the table."""
     console = Console()
-    return console if console.is_terminal else Console(width=FILE_WIDTH)
+    return console if console.is_terminal else Console(width=TABLE_WIDTH)
 
 
-def list_cells(summary: Summary) -> list[str]:
-    """Return the cells of a summary's row."""
+def make_cells(summary: Summary) -> list[str]:
+    """Return the cells of the table row for a summary."""
     codes = ", ".join(
-        f"{name_code(code)} {count}" for code, count in summary.codes.most_common()
+        f"{get_code_name(code)} {count}" for code, count in summary.codes.most_common()
     )
     return [
         str(summary.requests),
