--- a/standins/checks.py
+++ b/standins/checks.py
@@ -79,7 +79,7 @@
     """Return the changes outside transactions, with how often each took effect.
 
     An append is counted both by its name in the log and by its unique value, so that
-    one that a proxy sent again under another name is found too. A change with neither
+    one that a daemon sent again under another name is found too. A change with neither
     a name nor a unique value can't be counted and is left out.
     """
     by_name, by_append = count_effects(evidence.effects)
--- a/tests/breakages.py
+++ b/tests/breakages.py
@@ -1,4 +1,4 @@
-"""Failures of a whole deployment under load, one after the other."""
+"""A sequence of failures in a whole deployment under load."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,11 @@
 
 
 class BrokenRun(NamedTuple):
-    """A load's record; callers of the daemons in `cut_off` may lack answers."""
+    """The record of a load under failures.
+
+    `scheduled` counts the requests of the schedule, `struck` the faults that the relay
+    applied. Requests to the daemons in `cut_off` may lack answers.
+    """
 
     record: list[Entry]
     scheduled: int
@@ -27,7 +31,7 @@
 
 
 def run_and_break(cluster: Cluster, settings: LoadSettings) -> BrokenRun:
-    """Run a load while everything fails in turn, callers' connections too."""
+    """Run a load while daemons, a primary and callers' connections fail in turn."""
     cluster.put_bundle()
     cluster.wait_ready(1)
     addresses = {name: cluster.addresses[name] for name in cluster.daemon_names}
@@ -45,13 +49,16 @@
 
 
 def find_serving(cluster: Cluster) -> str:
-    """Return the daemon that serves the group."""
+    """Return the name of the group's serving daemon."""
     running = [name for name in cluster.daemon_names if cluster.is_running(name)]
     return next(name for name in running if cluster.fetch_status(name)["groups"])
 
 
 def break_in_turn(cluster: Cluster, relay: FaultRelay, serving: str) -> None:
-    """Kill, freeze and cut, one after the other, while the load runs."""
+    """Kill the serving daemon, then freeze the primary, then the new serving daemon.
+
+    Connections of callers are cut off all the while.
+    """
     cut_for_a_while(cluster, relay)
     cluster.kill(serving)
     cut_for_a_while(cluster, relay)
@@ -66,7 +73,7 @@
 
 
 def cut_for_a_while(cluster: Cluster, relay: FaultRelay) -> None:
-    """Cut a caller's request or answer every now and then for about a second."""
+    """Cut off callers' requests and answers for about a second."""
     for _ in range(6):
         for fault in (CUT_REPLY, CUT_REQUEST, CUT_HALF_REPLY):
             relay.arm(fault)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of share holders on one clock that tests move, without processes."""
+"""A simulated fleet of daemons with shares of a rate, on a clock that tests advance."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 class Clock:
-    """Milliseconds that pass only when a test says so."""
+    """A clock in milliseconds that advances only when a test advances it."""
 
     def __init__(self):
         self.time_ms = 10_000.0
@@ -28,7 +28,7 @@
 
 
 class NoLock:
-    """Stands for a lock or a condition where one task runs at a time."""
+    """Replaces a lock or a condition in tests with a single task."""
 
     def __enter__(self):
         return self
@@ -41,7 +41,7 @@
 
 
 class SimulatedRuntime:
-    """The seam with a clock that stands still; waiting lets the time pass."""
+    """A runtime whose clock stands still, except that a wait advances it."""
 
     def __init__(self, clock=None, seed=1):
         self.clock = clock or Clock()
@@ -58,7 +58,7 @@
 
 
 class Fate(NamedTuple):
-    """What becomes of a loan call: how long each way takes, and whether it is lost."""
+    """How a loan call goes: the delay each way, and whether the answer is lost."""
 
     before_ms: float = 0
     after_ms: float = 0
@@ -70,7 +70,7 @@
 
 
 class Limit(NamedTuple):
-    """The largest rate and burst that some daemon goes by, from `from_ms` on."""
+    """The largest rate and burst that any daemon applies from `from_ms` on."""
 
     from_ms: float
     rate: float
@@ -91,7 +91,7 @@
 
 
 class Member:
-    """One daemon's membership, shares, and what joins the two."""
+    """One daemon's membership, its shares, and the keeper that connects them."""
 
     def __init__(self, fleet, name):
         self.name = name
@@ -113,10 +113,10 @@
 
 
 class Fleet:
-    """Daemons that lend to each other; each step is one a real fleet may take.
+    """Daemons that lend tokens to each other; a real fleet can take each of its steps.
 
-    `spent_ms` holds when each token was spent. A daemon that is frozen takes no step,
-    one that is gone never will again.
+    `spent_ms` holds the times at which tokens were spent. Frozen daemons take no steps,
+    and removed daemons never return.
     """
 
     def __init__(self, names, spec, seed=1):
@@ -142,18 +142,18 @@
 
     def make_asker(self, borrower):
         def ask(lender, request):
-            return self.carry_loan(borrower, lender, request)
+            return self.simulate_loan_call(borrower, lender, request)
 
         return ask
 
-    def carry_loan(self, borrower, lender, request):
+    def simulate_loan_call(self, borrower, lender, request):
         fate = self.fates()
         self.pass_time(fate.before_ms)
         if lender not in self.members or lender in self.frozen:
             self.pass_time(150)
             return None
         loan = self.members[lender].shares.lend(request)
-        # While an answer is on its way the lender goes on, and others ask it.
+        # Until the answer arrives, the lender goes on and other daemons borrow from it.
         if fate.after_ms and self.depth < 2:
             self.depth += 1
             self.pass_time(fate.after_ms)
@@ -167,7 +167,7 @@
         self.clock.time_ms += duration_ms
 
     def start(self, name):
-        """Start a daemon, or start it anew; it learns what the platform holds."""
+        """Start or restart a daemon; it reads what the platform holds."""
         self.frozen.discard(name)
         self.members[name] = Member(self, name)
         self.learn(name)
@@ -179,7 +179,7 @@
             self.record_limit()
 
     def beat(self, sender, receiver):
-        """Let `sender` ask `receiver` what it knows, and act on it."""
+        """Send a heartbeat from `sender` to `receiver`, and apply the reply."""
         if sender not in self.members or sender in self.frozen:
             return
         if receiver not in self.members or receiver in self.frozen:
@@ -190,7 +190,7 @@
         member.keeper.confirm()
 
     def beat_all(self):
-        """Let every daemon hear of every other one, with the news of the platform."""
+        """Let all daemons read the platform, then exchange heartbeats in all pairs."""
         for name in sorted(self.members):
             self.learn(name)
         for _ in range(3):
@@ -201,12 +201,12 @@
                 self.settle(sender)
 
     def settle(self, name):
-        """Let a daemon that hears of nobody go on by itself."""
+        """Let a daemon confirm its shares without a reply from another one."""
         if name in self.members and name not in self.frozen:
             self.members[name].keeper.confirm()
 
     def spend(self, name, count):
-        """Let callers send `count` requests to a daemon; return how many got in."""
+        """Send `count` requests to a daemon; return how many were admitted."""
         spent = 0
         for _ in range(count):
             if name in self.members and name not in self.frozen:
@@ -214,20 +214,20 @@
         return spent
 
     def spend_one(self, name):
-        ended = self.members[name].shares.spend(WORKSPACE)
-        if ended.is_ok():
+        result = self.members[name].shares.spend(WORKSPACE)
+        if result.is_ok():
             self.spent_ms.append(self.clock.now_ms())
-        return ended.is_ok()
+        return result.is_ok()
 
     def add(self, name):
-        """Let a new VM into the roster."""
+        """Add a new VM to the roster and start its daemon."""
         if name not in self.names:
             self.names.add(name)
             self.epoch += 1
             self.start(name)
 
     def remove(self, name):
-        """Let a VM be gone for good; the roster learns it when its loans lapsed."""
+        """Remove a VM for good; the roster lists it until its loans have lapsed."""
         if len(self.names) > 1 and name in self.names:
             self.members.pop(name, None)
             self.frozen.discard(name)
@@ -236,7 +236,7 @@
             self.epoch += 1
 
     def set_spec(self, spec):
-        """Put another rate and burst in force; each daemon learns it by itself."""
+        """Put another rate and burst in force; daemons learn it when they next read."""
         self.version += 1
         self.specs[self.version] = spec
         self.record_limit()
@@ -244,31 +244,31 @@
     # The check
 
     def record_limit(self):
-        """Note what is in force where; lent tokens keep it for their life."""
-        specs = [self.specs[one.version] for one in self.members.values()]
+        """Record the largest limit in force now; loans keep it until they lapse."""
+        specs = [self.specs[member.version] for member in self.members.values()]
         specs.append(self.specs[self.version])
         rate = max(spec.rate for spec in specs)
         burst = max(spec.burst for spec in specs)
         self.limits.append(Limit(self.clock.now_ms(), rate, burst))
 
     def limit_at(self, time_ms):
-        """Return the limit that holds at a time, loans of before included."""
-        last = [one for one in self.limits if one.from_ms <= time_ms][-1:]
-        late = [
-            one
-            for number, one in enumerate(self.limits)
-            if one.from_ms <= time_ms
+        """Return the rate and burst that apply at a time, those of loans included."""
+        current = [limit for limit in self.limits if limit.from_ms <= time_ms][-1:]
+        on_loan = [
+            limit
+            for number, limit in enumerate(self.limits)
+            if limit.from_ms <= time_ms
             and number + 1 < len(self.limits)
             and self.limits[number + 1].from_ms > time_ms - LOAN_LIFE_MS
         ]
-        held = last + late
-        return max(one.rate for one in held), max(one.burst for one in held)
+        applied = current + on_loan
+        return max(each.rate for each in applied), max(each.burst for each in applied)
 
     def find_excess(self):
-        """Return by how many tokens the fleet passed one bucket at the worst time.
+        """Return the largest number of tokens by which the fleet exceeded one bucket.
 
-        One bucket that starts full gives out no more than its burst and its rate times
-        the length of any window, and all that such windows allow.
+        A bucket that starts full admits exactly what this rule allows: in any window no
+        more than the burst plus the rate times the length of the window.
         """
         excess = 0.0
         tokens = None
@@ -277,13 +277,15 @@
             if tokens is None:
                 tokens = self.limit_at(time_ms)[1]
                 last_ms = time_ms
-            marks = [one.from_ms for one in self.limits]
-            marks += [mark + LOAN_LIFE_MS for mark in marks]
-            marks = sorted(mark for mark in marks if last_ms < mark < time_ms)
-            for mark in [*marks, time_ms]:
-                rate, burst = self.limit_at((last_ms + mark) / 2)
-                tokens = min(burst, tokens + max(0.0, mark - last_ms) * rate / 1000)
-                last_ms = mark
+            changes_ms = [limit.from_ms for limit in self.limits]
+            changes_ms += [change_ms + LOAN_LIFE_MS for change_ms in changes_ms]
+            changes_ms = sorted(
+                change_ms for change_ms in changes_ms if last_ms < change_ms < time_ms
+            )
+            for end_ms in [*changes_ms, time_ms]:
+                rate, burst = self.limit_at((last_ms + end_ms) / 2)
+                tokens = min(burst, tokens + max(0.0, end_ms - last_ms) * rate / 1000)
+                last_ms = end_ms
             tokens -= 1
             excess = max(excess, -tokens)
         return excess if excess > TOLERANCE else 0.0
--- a/tests/record_builders.py
+++ b/tests/record_builders.py
@@ -1,4 +1,4 @@
-"""Builders of records and evidence for the tests of the checks."""
+"""Builders of a run's records and evidence, for the tests of the checks."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 def build_entry(**changes: Any) -> Entry:
-    """Return a read that ran; `changes` replace what it holds."""
+    """Return the entry of a read that ran; `changes` replace its fields."""
     request_id = changes.get("request_id", "r1")
     sent_ms = changes.get("sent_ms", 0.0)
     fields = {
@@ -50,14 +50,14 @@
 
 
 def build_append(token: str, **changes: Any) -> Entry:
-    """Return an append that ran, named by the token that it appended."""
+    """Return the entry of an append that ran; its request id is the appended token."""
     statement = {"verb": "append", "row": ROW, "value": token}
     fields = {"request_id": token, "statement": statement, "value": [token]}
     return build_entry(**{**fields, **changes})
 
 
 def build_refusal(refused: Code, /, **changes: Any) -> Entry:
-    """Return an append that was refused as the table of codes says."""
+    """Return the entry of an append that was refused as the table of codes says."""
     entry = CODES[refused]
     fields = {
         "status": entry.status,
@@ -71,7 +71,7 @@
 
 
 def build_effect(token: str, **changes: Any) -> Effect:
-    """Return the effect of an append outside transactions."""
+    """Return the effect of an append outside of transactions."""
     fields = {"position": 1, "term": 1, "change": token, "added": {ROW: [token]}}
     return Effect(**{"group": GROUP, **fields, **changes})
 
--- a/tests/test_caller.py
+++ b/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""Tests of the caller and of its load."""
+"""Tests of the caller and of the load."""
 
 import msgspec
 import pytest
@@ -23,7 +23,7 @@
 
 
 class FakeDaemon:
-    """Answers each request with the next of `answers`; None closes without one."""
+    """Answers each request with the next of `answers`; None closes the connection."""
 
     def __init__(self, runtime, answers, delay_ms=0):
         self.received = []
@@ -73,7 +73,7 @@
     return caller.run("orders", {"verb": "get", "row": "tray"}, daemon)
 
 
-def test_the_session_goes_with_the_caller_to_another_daemon(runtime):
+def test_the_session_token_is_sent_to_another_daemon_too(runtime):
     first = FakeDaemon(runtime, [frame_answer({**OK_ANSWER, "session": "t1"})])
     second = FakeDaemon(runtime, [frame_answer(OK_ANSWER)] * 2)
     caller = make_caller(runtime, first=first, second=second)
@@ -85,8 +85,8 @@
     assert len(second.connections) == 1
 
 
-def test_an_answer_that_never_comes_leaves_the_outcome_unknown(runtime):
-    """A daemon dies with a request in its hands. The caller can't know whether the
+def test_a_missing_answer_leaves_the_outcome_unknown(runtime):
+    """A daemon dies before it has answered a request. The caller can't know whether the
     request ran, and a record that said "not run" would hide a lost write.
     """
     fake = FakeDaemon(runtime, [None])
@@ -94,9 +94,9 @@
     assert (entry.code, entry.ran, entry.was_answered) == (NO_ANSWER, "unknown", False)
 
 
-def test_a_daemon_that_is_gone_ran_nothing(runtime):
-    """Nobody listens any more where the daemon was. Nothing was sent, so the caller
-    may say that the request did not run.
+def test_a_refused_connection_means_not_run(runtime):
+    """Nothing listens on the daemon's address any more. The request was not sent, so
+    the caller may record that it did not run.
     """
     fake = FakeDaemon(runtime, [])
     fake.listener.close()
@@ -105,8 +105,8 @@
 
 
 def test_a_connection_closed_while_idle_is_replaced(runtime):
-    """A daemon that stops closes the connections on which nothing runs. A caller
-    that sent its next request there would lose it, and blame the stop.
+    """A daemon that stops closes its idle connections. If a caller sent its next
+    request over one of them, the request would be recorded as cut off by the stop.
     """
     fake = FakeDaemon(runtime, [frame_answer(OK_ANSWER)] * 2)
     caller = make_caller(runtime, first=fake)
@@ -116,7 +116,7 @@
     assert len(fake.connections) == 2
 
 
-def test_a_body_without_code_is_no_proper_answer(runtime):
+def test_a_body_without_code_is_no_valid_answer(runtime):
     fake = FakeDaemon(runtime, [frame_answer({"hello": 1}), frame_answer(OK_ANSWER)])
     caller = make_caller(runtime, first=fake)
     entry = read_row(caller, "first")
@@ -124,9 +124,9 @@
     assert read_row(caller, "first").value == 1
 
 
-def test_a_doubled_answer_is_not_taken_for_two(runtime):
-    """A daemon answers one request twice. Read as the answer to the next request, the
-    second would give a kitchen the tray of another child.
+def test_a_doubled_answer_is_rejected(runtime):
+    """A daemon answers one request twice. The second answer must not be taken for the
+    answer to the next request.
     """
     twice = frame_answer(OK_ANSWER) * 2
     fake = FakeDaemon(runtime, [twice, frame_answer({**OK_ANSWER, "value": 2})])
@@ -153,10 +153,10 @@
     assert {arrival.daemon for arrival in large} == set(daemons)
 
 
-def test_a_stall_shows_in_the_latency_of_what_waited(runtime, tmp_path):
-    """A daemon stalls, and a load that waits for each answer before it sends the next
-    request would send few of them and find them quick. Counted from the time at which
-    each was due, those that had to wait are slow, as they were for the user.
+def test_latency_includes_the_wait_behind_a_stall(runtime, tmp_path):
+    """A daemon stalls. A load that measures latency from the sending of each request
+    would miss the time that requests wait behind the stalled one. Latency counts from
+    the time at which a request was due.
     """
     fake = FakeDaemon(runtime, [frame_answer(OK_ANSWER)] * 100, delay_ms=30)
     settings = make_settings(rates={"large": 100}, workers=1, arrivals="even")
@@ -172,9 +172,9 @@
     assert load_record(tmp_path / "record") == record
 
 
-def test_a_write_of_unknown_outcome_is_sent_again_with_its_key(runtime):
-    """The answer to a write is lost. The caller sends the write again with the same
-    idempotency key, and never does so with one that may not be repeated.
+def test_a_write_with_unknown_outcome_is_sent_again_with_its_key(runtime):
+    """The answer to a write is lost. The load sends the write again with the same
+    idempotency key, unless the write must not be repeated.
     """
     for once_share, expected in ((0.0, 3), (1.0, 1)):
         fake = FakeDaemon(runtime, [])
@@ -189,9 +189,9 @@
         assert len({entry.idempotency_key for entry in record}) == 1
 
 
-def test_a_transaction_is_rolled_back_when_a_part_is_refused(runtime):
-    """The second half of a transfer is refused. A caller that committed the first one
-    by itself would move goods out of one shop and into none.
+def test_a_transaction_is_rolled_back_when_a_statement_is_refused(runtime):
+    """The second statement of a transaction is refused. If the load committed the first
+    one alone, half of the transaction would be applied.
     """
     begun = frame_answer({**OK_ANSWER, "transaction": "vm-1~1"})
     refused = frame_answer({**OK_ANSWER, "code": 301, "ran": "not_run"})
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""Tests of the deployment on stand-ins: that it starts, obeys, and ends."""
+"""Tests of the deployment on stand-ins: its start, its control and its end."""
 
 import itertools
 import os
@@ -46,9 +46,9 @@
         cluster.close()
 
 
-def test_each_process_is_held_stopped_and_started_by_name(runtime):
-    """Tests freeze, stop and kill one process among many. A deployment that touched
-    another one, or left one running, would spoil every run after it.
+def test_each_process_is_frozen_stopped_and_started_by_name(runtime):
+    """Tests freeze, stop and kill single processes. If the deployment signalled another
+    process, or left one running, it would spoil every later run.
     """
     with Cluster(runtime, TINY) as cluster:
         cluster.wait_ready(cluster.put_bundle())
@@ -71,10 +71,10 @@
     assert not cluster.folder.exists()
 
 
-def test_an_endpoint_that_lost_its_data_stays_down(runtime):
-    """An endpoint is killed and started anew with an empty log. It would vote for a
-    new primary as if it had never seen what it acknowledged, and changes would be
-    lost that no failure of the real system loses.
+def test_an_endpoint_that_lost_its_data_cannot_restart(runtime):
+    """An endpoint that was killed and started again would have an empty log. The choice
+    of a new primary would not see the entries that it had acknowledged, and changes
+    would be lost that no failure of the real system loses.
     """
     with Cluster(runtime, TINY) as cluster:
         cluster.kill("orders-1")
@@ -82,9 +82,9 @@
             cluster.start("orders-1")
 
 
-def test_every_process_ends_when_the_block_is_interrupted(runtime):
-    """Somebody presses Ctrl-C in the middle of a run. Processes that stayed would
-    hold their ports, and load the machine for the runs after it.
+def test_every_process_ends_when_the_run_is_interrupted(runtime):
+    """Ctrl-C interrupts a run. Processes that were left behind would keep their ports
+    and load the machine during later runs.
     """
     pids = []
     with pytest.raises(KeyboardInterrupt), Cluster(runtime, TINY) as cluster:
@@ -92,14 +92,14 @@
         raise KeyboardInterrupt
     assert len(pids) == len(NAMES)
     assert not any(exists(pid) for pid in pids)
-    # What was logged is kept, since it explains the run.
+    # The logs are kept, since they explain the failed run.
     assert "listens" in cluster.read_log("orders-1")
     cluster.remove_logs()
 
 
 def test_a_process_that_does_not_start_is_named_with_its_log(runtime):
-    """A daemon refuses its settings and ends at once. The message must say which one
-    and why, and the others must not stay behind.
+    """A daemon rejects its settings and ends at once. The error must say which one and
+    why, and no other process may be left behind.
     """
     cluster = Cluster(runtime, TINY, daemon_flags=["--no-such-flag"])
     with pytest.raises(ClusterError, match=r"(?s)vm-1 does not listen.*no-such-flag"):
@@ -108,8 +108,8 @@
     cluster.remove_logs()
 
 
-def test_the_port_of_a_stopped_daemon_goes_to_no_other_run(runtime, monkeypatch):
-    """Guards against taking a process of another run for a daemon that came back."""
+def test_the_port_of_a_stopped_daemon_stays_reserved(runtime, monkeypatch):
+    """Guards against mistaking a process of another run for a restarted daemon."""
     with Cluster(runtime, TINY) as cluster:
         cluster.stop("vm-1")
         port = cluster.addresses["vm-1"].port
