--- a/standins/faults.py
+++ b/standins/faults.py
@@ -3,6 +3,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
+# DROP closes the connection without an answer. CROSS answers with the id and the value
+# of the connection's previous answer.
 DROP = "drop_answers"
 DELAY = "delay_answers"
 CROSS = "cross_answers"
--- a/standins/kvstore.py
+++ b/standins/kvstore.py
@@ -52,7 +52,7 @@
 
     @property
     def address(self) -> Address:
-        """Return where the store listens."""
+        """Return the address on which the store listens."""
         return Address(*self._server.server_address[:2])
 
     def close(self) -> None:
--- a/standins/store.py
+++ b/standins/store.py
@@ -187,7 +187,7 @@
             self._vm_changes.append(VmChange(visible_ms, name, state))
 
     def list_vms(self) -> tuple[int, dict[str, str]]:
-        """Return the revision of the VM list and each VM's state, as of the lag ago."""
+        """Return the revision of the VM list and each VM's state, both with the lag."""
         now_ms = self._runtime.clock.now_ms()
         states: dict[str, str] = {}
         revision = 0
