--- a/standins/linedemo.py
+++ b/standins/linedemo.py
@@ -131,8 +131,11 @@
     caller = deployment.connect(NAMES[0], STRICT)
     deployment.platform.group.instances["orders-0"].silent = True
     deployment.wait(lambda: not caller.query("STORE after 1").error, "a new primary")
-    last = deployment.platform.group.promotions[-1]
-    report(f"The primary stopped answering; {last[0]} was promoted in epoch {last[2]}.")
+    promotion = deployment.platform.group.promotions[-1]
+    report(
+        "The primary stopped answering; "
+        f"{promotion[0]} was promoted in epoch {promotion[2]}."
+    )
 
 
 def show_withdrawn_key(deployment: Deployment) -> None:
