--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from bronzerelay.peerlink.ttypes import LoanCall, LoanReply
 from bronzerelay.peers import PeerLinks, PeerServer, greet_server
 from bronzerelay.runtime import Address, Connection
-from standins.cutter import REPEAT_REPLY, Cutter
+from standins.faultrelay import REPEAT_REPLY, FaultRelay
 from tests.endpoints import open_runtime, wait_until
 
 SECRET = "a secret of peers"
@@ -60,7 +60,7 @@
     If the next call took it for its own answer, a commit would be reported as done
     before it has run.
     """
-    cutter = Cutter(peer.runtime, peer.server.address)
+    cutter = FaultRelay(peer.runtime, peer.server.address)
     cutter.start()
     links = PeerLinks(peer.runtime, SECRET)
     assert links.call(cutter.address, "lend", CALL, TIMEOUT_MS).is_ok()
