--- a/lab/ablation.py
+++ b/lab/ablation.py
@@ -1,7 +1,8 @@
-"""What each mechanism of the pooler is worth: the same days with and without it.
+"""Measures what each mechanism of the pooler adds to the score of benchmark days.
 
-For each mechanism a copy of the tree is made in which it is switched off, and a command
-plays a day there that prints its worth. Run it with `python -m lab.ablation --help`.
+A day is a scenario of an external benchmark command, which prints a score for it. For
+each mechanism a copy of the tree is made in which it is switched off, and the command
+runs the same days there. See `python -m lab.ablation --help`.
 """
 
 import shlex
@@ -17,24 +18,24 @@
 from lab.mutations import ROOT
 from lab.poolermutations import POOLER_MUTATIONS, Mutation
 
-WHOLE = "nothing switched off"
+BASELINE = "nothing switched off"
 COPIED = ("bronzerelay", "platform", "deploy")
-# What a play prints that broke a rule.
+# The command prints this when a run broke a rule.
 BROKEN = "rules broken"
-# How long one play may take, in seconds.
-PLAY_LIMIT_S = 900
+# How long the run of one day may take, in seconds.
+RUN_TIMEOUT_S = 900
 
 
-class Play(NamedTuple):
-    """One play of a day: its worth, and whether a rule was broken."""
+class DayResult(NamedTuple):
+    """The result of one run of a day: its score, and whether a rule was broken."""
 
     day: str
-    worth: float
+    score: float
     broken: bool
 
 
 class Run(NamedTuple):
-    """A play that is under way."""
+    """A run of a day that is in progress."""
 
     mechanism: str
     day: str
@@ -42,7 +43,10 @@
 
 
 def make_tree(folder: Path, mutation: Mutation | None) -> Path:
-    """Write the tree without a mechanism into `folder`; raise ValueError when stale."""
+    """Copy the tree into `folder`, with the mutation applied.
+
+    Raise ValueError if the file no longer contains the text that it replaces.
+    """
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     for name in COPIED:
@@ -57,21 +61,24 @@
     return folder
 
 
-def read_play(day: str, output: str) -> Play | None:
-    """Return what a play printed: a row that begins with the day, its worth fourth."""
+def parse_result(day: str, output: str) -> DayResult | None:
+    """Return the result from the output row that starts with the day.
+
+    The fourth field of the row is the score.
+    """
     for line in output.splitlines():
         fields = line.split()
         if len(fields) > 3 and fields[0] == day:
             try:
-                worth = float(fields[3])
+                score = float(fields[3])
             except ValueError:
                 continue
-            return Play(day, worth, BROKEN in output)
+            return DayResult(day, score, BROKEN in output)
     return None
 
 
-def start(command: str, tree: Path, mechanism: str, day: str, seed: str) -> Run:
-    """Start one play in a tree; the command's words name {day}, {seed}, {why}."""
+def start_run(command: str, tree: Path, mechanism: str, day: str, seed: str) -> Run:
+    """Start the command in a tree, with {day}, {seed} and {why} filled in."""
     why = f"Ablation: without '{mechanism}'"
     words = [word.format(day=day, seed=seed, why=why) for word in shlex.split(command)]
     process = subprocess.Popen(
@@ -80,58 +87,64 @@
     return Run(mechanism, day, process)
 
 
-def finish(run: Run, plays: dict[str, list[Play]]) -> None:
-    """Wait for a play and add what it gave."""
-    output, _ = run.process.communicate(timeout=PLAY_LIMIT_S)
-    play = read_play(run.day, output)
-    if play is None:
+def finish_run(run: Run, results: dict[str, list[DayResult]]) -> None:
+    """Wait for a run and add its result to those of its mechanism."""
+    output, _ = run.process.communicate(timeout=RUN_TIMEOUT_S)
+    result = parse_result(run.day, output)
+    if result is None:
         click.echo(f"{run.mechanism}, {run.day}: no result\n{output[-400:]}", err=True)
     else:
-        plays.setdefault(run.mechanism, []).append(play)
-
-
-def show_table(plays: dict[str, list[Play]], days: list[str]) -> None:
-    """Print the mean worth by day, and what each mechanism adds to it."""
-    table = Table("switched off", *days, "mean", "worth of it", "rule broken")
-    whole = _mean(plays.get(WHOLE, []))
-    for mechanism, found in plays.items():
-        by_day = [_mean([one for one in found if one.day == day]) for day in days]
-        mean = _mean(found)
+        results.setdefault(run.mechanism, []).append(result)
+
+
+def print_table(results: dict[str, list[DayResult]], days: list[str]) -> None:
+    """Print the mean score by day, and what each mechanism adds to it."""
+    table = Table("switched off", *days, "mean", "score added", "rule broken")
+    baseline = _mean(results.get(BASELINE, []))
+    for mechanism, own in results.items():
+        by_day = [
+            _mean([result for result in own if result.day == day]) for day in days
+        ]
+        mean = _mean(own)
         table.add_row(
             mechanism,
             *[f"{value:.4f}" for value in by_day],
             f"{mean:.4f}",
-            f"{whole - mean:+.4f}",
-            str(sum(one.broken for one in found)),
+            f"{baseline - mean:+.4f}",
+            str(sum(result.broken for result in own)),
         )
     Console(width=160).print(table)
 
 
-def _mean(plays: list[Play]) -> float:
-    return sum(one.worth for one in plays) / len(plays) if plays else float("nan")
+def _mean(results: list[DayResult]) -> float:
+    return (
+        sum(result.score for result in results) / len(results)
+        if results
+        else float("nan")
+    )
 
 
 @click.command()
 @click.option(
-    "--command", required=True, help="Plays {day} with {seed}; {why} says why."
+    "--command", required=True, help="Runs {day} with {seed}; {why} is the reason."
 )
-@click.option("--days", required=True, help="Names of days, divided by commas.")
+@click.option("--days", required=True, help="Names of days, separated by commas.")
 @click.option("--seeds", default="1,2,3", show_default=True)
 @click.option(
     "--only", multiple=True, help="Only mechanisms that contain this text; repeatable."
 )
-@click.option("--jobs", default=3, show_default=True, help="Plays at a time.")
+@click.option("--jobs", default=3, show_default=True, help="Runs at a time.")
 @click.option("--out", type=click.Path(path_type=Path), required=True)
 def main(
     command: str, days: str, seeds: str, only: tuple[str, ...], jobs: int, out: Path
 ) -> None:
-    """Play days in a tree for each mechanism that is switched off, and one as it is."""
+    """Run days in an unchanged tree, and in one for each mechanism switched off."""
     chosen = [
-        one
-        for one in POOLER_MUTATIONS
-        if not only or any(text in one.mechanism for text in only)
+        mutation
+        for mutation in POOLER_MUTATIONS
+        if not only or any(text in mutation.mechanism for text in only)
     ]
-    trees = {WHOLE: make_tree(out / "whole", None)}
+    trees = {BASELINE: make_tree(out / "whole", None)}
     for number, mutation in enumerate(chosen):
         try:
             tree = make_tree(out / f"without-{number}", mutation)
@@ -139,17 +152,17 @@
             click.echo(f"left out: {error}", err=True)
             continue
         trees[mutation.mechanism] = tree
-    plays: dict[str, list[Play]] = {}
+    results: dict[str, list[DayResult]] = {}
     running: list[Run] = []
     for mechanism, tree in trees.items():
         for day in days.split(","):
             for seed in seeds.split(","):
                 if len(running) >= jobs:
-                    finish(running.pop(0), plays)
-                running.append(start(command, tree, mechanism, day, seed))
+                    finish_run(running.pop(0), results)
+                running.append(start_run(command, tree, mechanism, day, seed))
     for run in running:
-        finish(run, plays)
-    show_table(plays, days.split(","))
+        finish_run(run, results)
+    print_table(results, days.split(","))
 
 
 if __name__ == "__main__":
--- a/lab/failover.py
+++ b/lab/failover.py
@@ -33,10 +33,7 @@
 
 
 class Round(NamedTuple):
-    """One failure: the gap and the slowest request, and what the callers were told.
-
-    Both are milliseconds.
-    """
+    """One failure: the gap in service, the slowest request, and counts of outcomes."""
 
     kind: str
     gap_ms: float
@@ -61,16 +58,18 @@
 
 def find_gap(record: list[Entry], from_ms: float) -> float:
     """Return the longest time without an acknowledged write from `from_ms` on."""
-    times = sorted(entry.answered_ms for entry in record if entry.ran == "ran")
-    before = [time for time in times if time <= from_ms]
+    acknowledged_ms = sorted(
+        entry.answered_ms for entry in record if entry.ran == "ran"
+    )
+    before = [time_ms for time_ms in acknowledged_ms if time_ms <= from_ms]
     points = [before[-1] if before else from_ms]
-    points += [time for time in times if time > from_ms]
+    points += [time_ms for time_ms in acknowledged_ms if time_ms > from_ms]
     gaps = [later - earlier for earlier, later in zip(points, points[1:], strict=False)]
     return max(gaps, default=float(AFTER_MS))
 
 
 def run_round(scene: Scene, kind: str, seed: int) -> Round:
-    """Cause one failure and heal it; return what it did, after all checks."""
+    """Cause one failure, heal it, check all records, and return the results."""
     record, failed_at_ms = cause_failure(scene, kind, seed)
     scene.cluster.wait_ready()
     scene.record.extend(record)
@@ -80,7 +79,7 @@
 def cause_failure(scene: Scene, kind: str, seed: int) -> tuple[list[Entry], float]:
     """Cause one failure under a steady load of writes, and heal it.
 
-    Return the record of the load, and when it failed.
+    Return the record of the load, and the time of the failure.
     """
     cluster = scene.cluster
     settings = LoadSettings(
@@ -107,7 +106,7 @@
 def count_round(
     scene: Scene, kind: str, record: list[Entry], failed_at_ms: float
 ) -> Round:
-    """Return what a round's record says, after checks of all rounds so far."""
+    """Check the records of all rounds so far; return the results of this one."""
     violations = run_checks(scene.record, scene.cluster.collect_evidence())
     for violation in violations[:5]:
         click.echo(f"    {violation}")
@@ -123,7 +122,7 @@
 
 
 def measure(layout: Layout, kinds: list[str], runs: int, seed: int) -> list[Round]:
-    """Return `runs` rounds of each kind, the groups taken by turns."""
+    """Return `runs` rounds of each kind, with the groups in turn."""
     rounds: list[Round] = []
     record: list[Entry] = []
     runtime = Runtime(600, seed=seed)
@@ -131,34 +130,34 @@
         cluster.wait_ready(cluster.put_bundle())
         runtime.sleep_ms(1000)
         for kind in kinds:
-            # A killed instance is gone, so that each group can lose one at most.
+            # A killed instance doesn't come back, so each group can lose one at most.
             count = min(runs, len(cluster.groups)) if "killed" in kind else runs
             for number in range(count):
                 group = cluster.groups[number % len(cluster.groups)]
-                done = run_round(Scene(cluster, group, record), kind, seed + number)
-                click.echo(f"  {done.kind}: {done.gap_ms:.0f} ms")
-                rounds.append(done)
+                result = run_round(Scene(cluster, group, record), kind, seed + number)
+                click.echo(f"  {result.kind}: {result.gap_ms:.0f} ms")
+                rounds.append(result)
     runtime.close(2000)
     return rounds
 
 
 def summarise(rounds: list[Round]) -> list[dict]:
-    """Return one line for each kind of failure."""
+    """Return one entry for each kind of failure."""
     lines = []
-    for kind in dict.fromkeys(done.kind for done in rounds):
-        own = [done for done in rounds if done.kind == kind]
-        gaps = [done.gap_ms for done in own]
+    for kind in dict.fromkeys(run.kind for run in rounds):
+        own = [run for run in rounds if run.kind == kind]
+        gaps = [run.gap_ms for run in own]
         lines.append(
             {
                 "kind": kind,
                 "runs": len(own),
                 "median_ms": round(statistics.median(gaps)),
                 "worst_ms": round(max(gaps)),
-                "slowest_ms": round(max(done.slowest_ms for done in own)),
-                "answered": sum(done.answered for done in own),
-                "not_run": sum(done.refused for done in own),
-                "unknown": sum(done.unknown for done in own),
-                # Each round checks all before it too, so that the last one tells all.
+                "slowest_ms": round(max(run.slowest_ms for run in own)),
+                "answered": sum(run.answered for run in own),
+                "not_run": sum(run.refused for run in own),
+                "unknown": sum(run.unknown for run in own),
+                # Each round also checks all earlier ones, so the last count is the total.
                 "violations_so_far": own[-1].violations,
             }
         )
@@ -172,7 +171,7 @@
 @click.option("--lag-ms", default=5, show_default=True, help="Replication lag.")
 @click.option("--output", default=str(OUTPUT), show_default=True)
 def main(runs: int, kinds: tuple[str, ...], seed: int, lag_ms: int, output: str):
-    """Measure the failover gap, and check that no write is lost or doubled."""
+    """Measure the failover gap, and check that no write is lost or applied twice."""
     layout = VIANDA._replace(lag_ms=lag_ms, vm_lag_ms=200)
     rounds = measure(layout, list(kinds) or list(FAILURES), runs, seed)
     lines = summarise(rounds)
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults that an experiment causes in a running deployment, each with its undoing."""
+"""Faults that experiments cause in a running deployment, and how each is undone."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Scene(NamedTuple):
-    """What a fault needs to know; `record` holds all that callers saw so far."""
+    """Where a fault is caused; `record` holds all requests of callers so far."""
 
     cluster: Cluster
     group: str
@@ -26,14 +26,14 @@
 
 
 def freeze_primary(scene: Scene) -> Undo:
-    """Freeze the group's primary, as a paused VM is."""
+    """Freeze the group's primary, like a VM that is paused."""
     name = scene.cluster.find_primary(scene.group)
     scene.cluster.freeze(name)
     return lambda: thaw(scene.cluster, name)
 
 
 def cut_primary_off(scene: Scene) -> Undo:
-    """Cut the primary from its replicas, but not from the daemons."""
+    """Cut the connections between the primary and its replicas, not the daemons."""
     name = scene.cluster.find_primary(scene.group)
     others = [
         f"{scene.group}-{number}"
@@ -45,7 +45,7 @@
 
 
 def cut_half(scene: Scene) -> Undo:
-    """Cut the primary from half of the daemons, the serving one among them."""
+    """Cut the primary from half of the daemons, including the serving daemon."""
     name = scene.cluster.find_primary(scene.group)
     daemons = rank(f"group/{scene.group}", scene.cluster.daemon_names)
     half = daemons[: len(daemons) // 2]
@@ -55,20 +55,20 @@
 
 def freeze_serving_daemon(scene: Scene) -> Undo:
     """Freeze the daemon that serves the group."""
-    name = serving_daemon(scene)
+    name = find_serving_daemon(scene)
     scene.cluster.freeze(name)
     return lambda: thaw(scene.cluster, name)
 
 
 def kill_serving_daemon(scene: Scene) -> Undo:
     """Kill the daemon that serves the group, and start it again later."""
-    name = serving_daemon(scene)
+    name = find_serving_daemon(scene)
     scene.cluster.kill(name)
     return lambda: start_again(scene.cluster, name)
 
 
 def freeze_primary_without_platform(scene: Scene) -> Undo:
-    """Freeze the primary while the platform is out."""
+    """Freeze the primary while the platform is down."""
     scene.cluster.set_platform_fault("down")
     undo = freeze_primary(scene)
 
@@ -82,34 +82,34 @@
 def freeze_two_primaries(scene: Scene) -> Undo:
     """Freeze the primaries of two groups at once."""
     other = next(name for name in scene.cluster.groups if name != scene.group)
-    undone = [freeze_primary(scene), freeze_primary(scene._replace(group=other))]
+    undos = [freeze_primary(scene), freeze_primary(scene._replace(group=other))]
 
     def heal() -> None:
-        for undo in undone:
+        for undo in undos:
             undo()
 
     return heal
 
 
 def start_again(cluster: Cluster, name: str) -> None:
-    """Start a daemon unless another fault's undoing has done so already."""
+    """Start a daemon unless undoing another fault has already started it."""
     if not cluster.is_running(name):
         cluster.start(name)
 
 
 def thaw(cluster: Cluster, name: str) -> None:
-    """Let a frozen process go on, if another fault hasn't killed it since."""
+    """Resume a frozen process unless another fault has killed it since."""
     if cluster.is_running(name):
         cluster.thaw(name)
 
 
 def ask_thawed(cluster: Cluster, name: str, op: str, **fields: Any) -> None:
-    """Ask an instance, which may have been frozen by another fault meanwhile."""
+    """Send a request to an instance that another fault may have frozen meanwhile."""
     thaw(cluster, name)
     cluster.ask_endpoint(name, op, **fields)
 
 
-def serving_daemon(scene: Scene) -> str:
+def find_serving_daemon(scene: Scene) -> str:
     """Return the daemon that serves the group while all are alive."""
     return rank(f"group/{scene.group}", scene.cluster.daemon_names)[0]
 
@@ -133,15 +133,15 @@
 
 
 def restart_daemon(scene: Scene) -> Undo:
-    """Stop a random daemon in order, and start it again."""
+    """Stop a random daemon gracefully, and start it again."""
     name = pick_daemon(scene)
     stopped_pid = scene.cluster.pid(name)
     scene.cluster.begin_stop(name)
 
     def start() -> None:
-        # One that another fault has frozen would never come to its end.
+        # A daemon that another fault has frozen would never stop.
         thaw(scene.cluster, name)
-        # Another restart may have brought a new process, which nobody has stopped.
+        # Another restart may have started a new process, which nothing stops.
         if scene.cluster.pid(name) == stopped_pid:
             scene.cluster.wait_stopped(name)
         start_again(scene.cluster, name)
@@ -164,7 +164,7 @@
 
 
 def lose_answers(scene: Scene) -> Undo:
-    """Let an instance lose answers, after the effect or before it."""
+    """Make an instance drop answers, either after or before it runs the request."""
     before = scene.cluster.runtime.random.choice((True, False))
     ops = ["write", "commit", "settle", "read"]
     name = pick_instance(scene)
@@ -173,7 +173,7 @@
 
 
 def delay_answers(scene: Scene) -> Undo:
-    """Let an instance answer late, past the statements' timeout."""
+    """Make an instance answer later than the timeout of statements."""
     ops = ["write", "commit", "read"]
     name = pick_instance(scene)
     scene.cluster.ask_endpoint(name, "delay_answers", ops=ops, count=3, delay_ms=1300)
@@ -181,14 +181,14 @@
 
 
 def cross_answers(scene: Scene) -> Undo:
-    """Let an instance give one request's answer to the next."""
+    """Make an instance send the answer to one request as the answer to the next."""
     name = pick_instance(scene)
     scene.cluster.ask_endpoint(name, "cross_answers", ops=["write", "read"], count=3)
     return lambda: None
 
 
 def raise_lag(scene: Scene) -> Undo:
-    """Let the replicas fall behind."""
+    """Raise the replication lag of all instances of the group."""
     names = [
         f"{scene.group}-{number + 1}"
         for number in range(scene.cluster.layout.instances)
@@ -205,24 +205,24 @@
 
 
 def stop_platform(scene: Scene) -> Undo:
-    """Let the platform answer nobody."""
+    """Make the platform answer no requests."""
     scene.cluster.set_platform_fault("down")
     return lambda: scene.cluster.set_platform_fault("up")
 
 
 def slow_platform(scene: Scene) -> Undo:
-    """Let the platform answer slowly."""
+    """Make the platform answer slowly."""
     scene.cluster.set_platform_fault("slow", delay_ms=800)
     return lambda: scene.cluster.set_platform_fault("up")
 
 
 def lose_platform_answers(scene: Scene) -> Undo:
-    """Let changes at the platform take effect without an answer."""
+    """Make the platform apply changes without answering them."""
     scene.cluster.set_platform_fault("lose_answers")
     return lambda: scene.cluster.set_platform_fault("up")
 
 
 def change_configuration(scene: Scene) -> Undo:
-    """Put the same bundle in force as a new version."""
+    """Publish the same bundle as a new version."""
     scene.cluster.put_bundle()
     return lambda: None
--- a/lab/flood.py
+++ b/lab/flood.py
@@ -1,4 +1,4 @@
-"""Measures what the others get on a whole deployment while one workspace floods."""
+"""Measures what other workspaces get while one sends far more than its rate."""
 
 from pathlib import Path
 from statistics import median
@@ -19,8 +19,9 @@
 
 RESULT_FOLDER = Path(__file__).resolve().parent.parent / "docs/measurements"
 WARM_UP_MS = 2500
-PER = 10_000
-FLOOD = 5.0
+# Wrongful refusals are counted per this many requests.
+PER_REQUESTS = 10_000
+FLOOD_FACTOR = 5.0
 
 
 def measure(
@@ -29,13 +30,13 @@
     """Return the figures of one run; the first workspace sends five times its rate."""
     layout = LAYOUTS[name]
     flooding = layout.workspaces[0].name
-    rates = {one.name: one.rate * load for one in layout.workspaces}
-    rates[flooding] = layout.workspaces[0].rate * FLOOD
+    rates = {spec.name: spec.rate * load for spec in layout.workspaces}
+    rates[flooding] = layout.workspaces[0].rate * FLOOD_FACTOR
     runtime = Runtime(task_limit=1200)
     with Cluster(runtime, layout) as cluster:
         cluster.wait_ready(cluster.put_bundle())
         runtime.clock.sleep_ms(WARM_UP_MS)
-        daemons = {one: cluster.addresses[one] for one in cluster.daemon_names}
+        daemons = {name: cluster.addresses[name] for name in cluster.daemon_names}
         settings = LoadSettings(
             rates=rates,
             groups=layout.groups,
@@ -43,13 +44,15 @@
             duration_ms=int(seconds * 1000),
             spread=spread,
         )
-        run = Load(runtime, settings, daemons, cluster.keys)
-        run.start()
-        record = run.wait()
-        limits = [RateLimit(one.name, one.rate, one.burst) for one in layout.workspaces]
-        broken = check_rates(record, limits, cluster.collect_evidence())
+        flood = Load(runtime, settings, daemons, cluster.keys)
+        flood.start()
+        record = flood.wait()
+        limits = [
+            RateLimit(spec.name, spec.rate, spec.burst) for spec in layout.workspaces
+        ]
+        violations = check_rates(record, limits, cluster.collect_evidence())
     runtime.close(1000)
-    rows = [sum_up(one, record, limits) for one in rates]
+    rows = [summarise_workspace(workspace, record, limits) for workspace in rates]
     others = [row for row in rows if row["workspace"] != flooding]
     return {
         "layout": name,
@@ -57,9 +60,9 @@
         "spread": spread,
         "seed": seed,
         "flooding": flooding,
-        "rate_violations": len(broken),
+        "rate_violations": len(violations),
         "wrongful_per_10000": round(
-            PER
+            PER_REQUESTS
             * sum(row["wrongful"] for row in others)
             / sum(row["requests"] for row in others),
             2,
@@ -78,8 +81,10 @@
     }
 
 
-def sum_up(name: str, record: list, limits: list[RateLimit]) -> dict[str, Any]:
-    """Return one workspace's figures; `served` is the part of its requests that ran."""
+def summarise_workspace(
+    name: str, record: list, limits: list[RateLimit]
+) -> dict[str, Any]:
+    """Return one workspace's figures; `served` is the fraction of requests that ran."""
     own = [entry for entry in record if entry.workspace == name]
     summary = summarise(own)
     return {
--- a/lab/mutations.py
+++ b/lab/mutations.py
@@ -1,7 +1,7 @@
-"""Switches off one mechanism after another and sees that its test fails.
+"""Switches off one mechanism after another and checks that its test fails.
 
-Each mutation is made in a copy of the tree, never in the tree itself. A mutation that
-its test lets pass means that the promise isn't proved by that test.
+Each mutation is applied to a copy of the tree, never to the tree itself. If a test
+passes despite its mutation, it doesn't check the mechanism.
 """
 
 import shutil
@@ -28,14 +28,14 @@
 
 MUTATIONS = (
     Mutation(
-        "deeply nested answers are turned away before they are decoded",
+        "deeply nested answers are rejected before they are decoded",
         "bronzerelay/nesting.py",
         "if depth > limit:",
         "if False:",
         "tests/test_nesting.py::test_a_deep_answer_of_an_endpoint_closes_its_link_only",
     ),
     Mutation(
-        "a write that is refused comes back a few times only",
+        "a refused write is retried only a few times",
         "bronzerelay/group.py",
         "            tries += 1\n",
         "",
@@ -49,14 +49,14 @@
         "tests/test_failover.py::test_a_write_that_only_the_primary_holds_is_not_acknowledged",
     ),
     Mutation(
-        "an instance of a later term doesn't count for an acknowledgement",
+        "an instance in a later term doesn't count towards an acknowledgement",
         "bronzerelay/watch.py",
         "same_term = state.term == need.term and state.log_term == need.term",
         "same_term = True",
         "tests/test_watch.py",
     ),
     Mutation(
-        "nothing is promoted without a majority of fences",
+        "no instance is promoted unless a majority of instances is fenced",
         "bronzerelay/failover.py",
         "needed = len(spec.endpoints) // 2 + 1",
         "needed = 1",
@@ -70,14 +70,14 @@
         "tests/test_failover.py::test_the_replica_with_the_longest_log_is_promoted",
     ),
     Mutation(
-        "a primary that no majority follows is replaced",
+        "a primary that no majority of instances follows is replaced",
         "bronzerelay/failover.py",
         "return now_ms - self._since_ms > limit_ms",
         "return False",
         "tests/test_failover.py::test_a_primary_cut_off_from_its_replicas_is_replaced",
     ),
     Mutation(
-        "instances that follow nobody are pointed to the primary",
+        "instances that follow no primary are told to follow the current one",
         "bronzerelay/failover.py",
         "self._follow(endpoint, term, primary)",
         "pass",
@@ -91,77 +91,77 @@
         "tests/test_failover.py::test_a_switchover_from_a_leaving_primary_refuses_no_write",
     ),
     Mutation(
-        "a write whose answer is lost is found out about, not sent again",
+        "a write whose answer is lost is settled, not sent again",
         "bronzerelay/group.py",
         "            if error.may_have_run:\n                return self.settle",
         "            if False:\n                return self.settle",
         "tests/test_promise_once.py::test_not_repeatable_is_sent_once",
     ),
     Mutation(
-        "a write found cancelled is not sent under the next number",
+        "a write that is found cancelled isn't sent again as the next attempt",
         "bronzerelay/group.py",
         "run after all.\n                return self.settle(work, attempt)",
         "run after all.\n                attempt += 1\n                continue",
         "tests/test_promise_once.py::test_thawed_daemon_runs_no_cancelled_write",
     ),
     Mutation(
-        "only the daemon that gave an attempt up may send the next one",
+        "only the daemon that gave an attempt up may send the next attempt",
         "bronzerelay/group.py",
         "self._repeat_or_refuse(work, attempt, attempt == first)",
         "self._repeat_or_refuse(work, attempt, True)",
         "tests/test_promise_once.py::test_late_settling_daemon_repeats_nothing",
     ),
     Mutation(
-        "a write counts as given up on only when a majority holds that",
+        "an attempt counts as given up only when a majority has recorded it",
         "bronzerelay/group.py",
         "if not self._watch.wait_majority(position, self.left_ms(work)):",
         "if False:",
         "tests/test_promise_once.py::test_cancelling_needs_a_majority",
     ),
     Mutation(
-        "a write lost with its daemon is found out about, not sent again",
+        "a write lost with its daemon is settled, not sent again",
         "bronzerelay/routing.py",
         "if is_write(work) and _was_lost(result.error):",
         "if False:",
         "tests/test_promise_once.py::test_cut_link_between_daemons",
     ),
     Mutation(
-        "only a settlement proves that a lost write has not run",
+        "only a settle request proves that a lost write hasn't run",
         "bronzerelay/routing.py",
         "if result.is_ok() or result.error.code in SETTLED_CODES:",
         "if True:",
         "tests/test_promise_once.py::test_unknown_group_is_not_proof_of_not_run",
     ),
     Mutation(
-        "trying elsewhere has a budget",
+        "retries at other daemons are limited by a budget",
         "bronzerelay/routing.py",
         "if did_work and not self._budget.allow(attempt):",
         "if False:",
         "tests/test_promise_once.py::test_retries_stay_within_budget",
     ),
     Mutation(
-        "a session's reads need its position",
+        "a session's reads wait for the position of its last write",
         "bronzerelay/reads.py",
         "need = work.session.get(work.group, Position(0, 0))",
         "need = Position(0, 0)",
         "tests/test_promise_sessions.py::test_session_reads_its_own_writes",
     ),
     Mutation(
-        "a session's position holds across a failover",
+        "a session's position is kept across a failover",
         "bronzerelay/reads.py",
         "need = work.session.get(work.group, Position(0, 0))",
         "need = Position(0, 0)",
         "tests/test_promise_sessions.py::test_session_holds_across_a_failover",
     ),
     Mutation(
-        "sessions agree with the naive store",
+        "sessions read the same values as from the naive store",
         "bronzerelay/reads.py",
         "need = work.session.get(work.group, Position(0, 0))",
         "need = Position(0, 0)",
         "tests/test_promise_sessions.py::test_sessions_see_what_the_naive_store_shows",
     ),
     Mutation(
-        "what only the primary holds is not shown",
+        "a read doesn't return data that only the primary holds",
         "bronzerelay/reads.py",
         "if may_be_lost and not policy.wait_acknowledged(self._watch, seen, wait_ms):",
         "if False:",
@@ -175,189 +175,189 @@
         "tests/test_promise_sessions.py::test_former_primary_proves_no_freshness",
     ),
     Mutation(
-        "a replica proves its age by a position that it holds",
+        "a replica proves its age by a position that it has reached",
         "bronzerelay/watch.py",
         "if sample.term == term and sample.position <= end.position:",
         "if sample.term == term:",
         "tests/test_promise_sessions.py::test_no_read_is_older_than_stated",
     ),
     Mutation(
-        "proofs of age reach back further than replicas lag",
+        "proofs of age are kept for longer than replicas lag",
         "bronzerelay/watch.py",
         "SAMPLE_GAP_MS = 20",
         "SAMPLE_GAP_MS = 0",
         "tests/test_promise_sessions.py::test_busy_primary_keeps_proofs_for_slow_replicas",
     ),
     Mutation(
-        "nothing runs on the link of a transaction that has ended",
+        "no statement runs on the connection of a transaction that has ended",
         "bronzerelay/transactions.py",
         "if not self._is_open(transaction):",
         "if False:",
         "tests/test_promise_transactions.py::test_request_behind_a_commit",
     ),
     Mutation(
-        "a transaction ends once",
+        "a transaction is ended only once",
         "bronzerelay/transactions.py",
         "if self._open.pop(transaction.id, None) is None:",
         "if self._open.pop(transaction.id, None) is ...:",
         "tests/test_promise_transactions.py::test_idle_transaction_ends_once",
     ),
     Mutation(
-        "a token works for its own workspace only",
+        "a transaction token is valid only in its own workspace",
         "bronzerelay/transactions.py",
         "if transaction is None or transaction.workspace != work.workspace:",
         "if transaction is None:",
         "tests/test_promise_transactions.py::test_token_of_another_workspace",
     ),
     Mutation(
-        "vanished callers make room",
+        "transactions of callers that are gone are ended when the limit is reached",
         "bronzerelay/transactions.py",
         "if self._count_at(name) >= limit and not self._make_room(name):",
         "if self._count_at(name) >= limit:",
         "tests/test_promise_transactions.py::test_vanished_callers_make_room",
     ),
     Mutation(
-        "a transaction shows no replaced primary's data",
+        "a transaction doesn't return data of a replaced primary",
         "bronzerelay/transactions.py",
         "if seen < work.session.get(work.group, Position(0, 0)):",
         "if False:",
         "tests/test_promise_transactions.py::test_transaction_on_former_primary",
     ),
     Mutation(
-        "a link inside a transaction is not lent again",
+        "a connection inside a transaction isn't reused",
         "bronzerelay/pool.py",
         "reusable = not link.in_transaction and link.is_usable()",
         "reusable = link.is_usable()",
         "tests/test_promise_transactions.py::test_transaction_on_former_primary",
     ),
     Mutation(
-        "a commit whose answer is lost is found out about",
+        "a commit whose answer is lost is settled",
         "bronzerelay/transactions.py",
         'if result.error.may_have_run or result.error.kind == "cancelled":',
         "if False:",
         "tests/test_promise_transactions.py::test_answer_to_commit_lost",
     ),
     Mutation(
-        "a commit lost with its daemon is found out about",
+        "a commit lost with its daemon is settled",
         "bronzerelay/routing.py",
         "if result.is_ok() or result.error.code not in ENDED_CODES:",
         "if True:",
         "tests/test_promise_transactions.py::test_commit_between_daemons_cut",
     ),
     Mutation(
-        "all commits of a transaction go by one name",
+        "all commits of a transaction have the same request ID",
         "bronzerelay/transactions.py",
         'return work._replace(request_id=f"{work.workspace}{MARK}{token}")',
         "return work",
         "tests/test_promise_transactions.py::test_commit_sent_again",
     ),
     Mutation(
-        "a transaction that is called lost is rolled back",
+        "a transaction that is reported as lost is rolled back",
         "bronzerelay/routing.py",
         "            self._roll_back(holder, work)",
         "            pass",
         "tests/test_promise_transactions.py::test_statement_between_daemons_cut",
     ),
     Mutation(
-        "a crossed answer reaches nobody",
+        "an answer to another request reaches no caller",
         "bronzerelay/dialect.py",
         'if answer["id"] == self._last_id:',
         "if True:",
         "tests/test_promise_transactions.py::test_answers_reach_their_own_callers",
     ),
     Mutation(
-        "the wait for SIGTERM shares no lock with its handler",
+        "the wait for SIGTERM shares no lock with the signal handler",
         "bronzerelay/daemon.py",
         "    stop_requested = runtime.make_signal()\n",
         "    stop_requested = runtime.make_event()\n",
         "tests/test_daemon.py",
     ),
     Mutation(
-        "tokens on loan keep their place in the lender's burst",
+        "tokens on loan count against the lender's burst",
         "bronzerelay/buckets.py",
         "        self._lent.append(Lot(lent, now_ms + LOAN_LIFE_MS, request.process))",
         "        pass",
         "tests/test_shares.py::test_no_window_sees_more_than_rate_and_burst",
     ),
     Mutation(
-        "a loan lapses by the time of the question",
+        "a loan's lifetime starts when it is requested",
         "bronzerelay/borrowing.py",
         "until_ms = asked_at_ms + LOAN_LIFE_MS",
         "until_ms = self._runtime.clock.now_ms() + LOAN_LIFE_MS",
         "tests/test_shares.py::test_no_window_sees_more_than_rate_and_burst",
     ),
     Mutation(
-        "a part grows when all have shrunk",
+        "a share grows only after all members have reduced theirs",
         "bronzerelay/shares.py",
         "for members in (self._members, self._confirmed)",
         "for members in (self._members,)",
         "tests/test_shares.py::test_a_part_shrinks_at_once_and_grows_when_all_have_shrunk",
     ),
     Mutation(
-        "nobody grows into loans of a larger part",
+        "no share grows while loans from a larger share are outstanding",
         "bronzerelay/sharekeeper.py",
         " and self._shares.has_shrunk()",
         "",
         "tests/test_shares.py::test_nobody_grows_while_loans_of_a_larger_part_are_out",
     ),
     Mutation(
-        "two versions share one whole",
+        "two versions of a workspace's limits share one burst",
         "bronzerelay/shares.py",
         "account.bursts_in_use.add(spec.burst)",
         "account.bursts_in_use = {spec.burst}",
         "tests/test_shares.py::test_two_versions_that_split_a_small_burst_differently_share_one_whole",
     ),
     Mutation(
-        "a restarted daemon waits for its predecessor's loans",
+        "a restarted daemon waits until its predecessor's loans have lapsed",
         "bronzerelay/shares.py",
         "account.bucket.start_empty(now_ms, self._begin_ms)",
         "account.bucket.start_empty(now_ms, now_ms)",
         "tests/test_shares.py::test_a_restarted_daemon_waits_until_its_predecessors_loans_have_lapsed",
     ),
     Mutation(
-        "a workspace that returns remembers its loans",
+        "a workspace that is added again keeps its outstanding loans",
         "bronzerelay/shares.py",
         "self._removed[gone] = self._accounts.pop(gone)",
         "self._accounts.pop(gone)",
         "tests/test_shares.py::test_a_workspace_that_comes_back_remembers_its_loans",
     ),
     Mutation(
-        "a late loan request releases nothing",
+        "a loan request that was overtaken releases no loan",
         "bronzerelay/buckets.py",
         "if request.number <= self._heard.get(request.process, 0):",
         "if False:",
         "tests/test_shares.py::test_a_loan_request_that_was_overtaken_releases_nothing",
     ),
     Mutation(
-        "a spent loan gives its place back",
+        "a spent loan no longer counts against the lender's burst",
         "bronzerelay/buckets.py",
         "        self._release(request)\n",
         "",
         "tests/test_shares.py::test_a_lender_refills_the_place_of_a_loan_that_was_spent",
     ),
     Mutation(
-        "a VM is gone at two looks",
+        "a VM is removed only when it is missing in two checks in a row",
         "bronzerelay/roster.py",
         "gone = missing & self._missing",
         "gone = missing",
         "tests/test_roster.py::test_a_vm_that_is_gone_is_taken_out_at_the_second_look",
     ),
     Mutation(
-        "the fleet shares one rate",
+        "all daemons together share a workspace's rate",
         "bronzerelay/shares.py",
         "part = min(parts, default=0.0)",
         "part = 1.0",
         "tests/test_promise_rates.py::test_five_times_its_rate_gets_the_rate_and_no_more",
     ),
     Mutation(
-        "uneven callers live on loans",
+        "a daemon with more callers than its share allows borrows tokens",
         "bronzerelay/holders.py",
         "return [holder for holder in holders if holder != name]",
         "return []",
         "tests/test_promise_rates.py::test_callers_inside_their_rate_are_not_refused_beside_a_flood",
     ),
     Mutation(
-        "a thawed daemon finds no more than its burst",
+        "a daemon that was frozen has no more tokens than its burst",
         "bronzerelay/buckets.py",
         "self._tokens = max(0.0, min(room, grown))",
         "self._tokens = max(0.0, grown)",
@@ -371,21 +371,21 @@
         "tests/test_promise_rates.py::test_a_lowered_rate_holds_once_it_is_in_force",
     ),
     Mutation(
-        "each workspace has a line of its own",
+        "each workspace has its own queue",
         "bronzerelay/policies.py",
         "name_queue=name_own_queue",
         'name_queue=lambda workspace: ""',
         "tests/test_promise_fairness.py::test_a_flood_inside_its_own_rate_takes_no_slots_from_the_others",
     ),
     Mutation(
-        "no write begins without time to run",
+        "no write starts without enough time left to run",
         "bronzerelay/instances.py",
         "START_MARGIN = 3",
         "START_MARGIN = 0",
         "tests/test_promise_fairness.py::test_equal_floods_get_equal_shares_of_the_slots",
     ),
     Mutation(
-        "idle endpoints save up no turns",
+        "workspaces that no idle endpoint suits accumulate no turns",
         "bronzerelay/slots.py",
         "        return False\n\n    def _skip_turns",
         "        self._skip_turns(len(self._ring))\n"
@@ -396,14 +396,14 @@
         "tests/test_slots.py::test_idle_endpoints_that_nobody_can_use_add_no_credit",
     ),
     Mutation(
-        "a version never goes back",
+        "the configuration version never decreases",
         "bronzerelay/configuration.py",
         "if configuration.version <= self._current_version():",
         "if False:",
         "tests/test_configuration.py::test_a_late_answer_with_an_older_version_changes_nothing",
     ),
     Mutation(
-        "a daemon restarted in an outage asks its seeds",
+        "a daemon that starts during a platform outage asks its seeds",
         "bronzerelay/gossip.py",
         "        self._fetch_news(address, result.ok)\n"
         "        return True\n"
@@ -413,28 +413,28 @@
         "tests/test_promise_configuration.py::test_versions_are_in_force_everywhere_and_never_go_back",
     ),
     Mutation(
-        "a daemon on old news doesn't admit",
+        "an isolated daemon doesn't admit requests",
         "bronzerelay/kernel.py",
         "if self._membership.is_isolated():",
         "if False:",
         "tests/test_promise_configuration.py::test_a_daemon_cut_from_platform_and_peers_stops_admitting",
     ),
     Mutation(
-        "the small side of a cut doesn't admit",
+        "the minority side of a partition doesn't admit requests",
         "bronzerelay/membership.py",
         "return len(heard) * 2 <= len(names)",
         "return False",
         "tests/test_promise_configuration.py::test_a_daemon_cut_from_platform_and_peers_stops_admitting",
     ),
     Mutation(
-        "an outage of the platform is no isolation",
+        "an outage of the platform isn't taken for isolation",
         "bronzerelay/membership.py",
         "return len(heard) * 2 <= len(names)",
         "return True",
         "tests/test_promise_configuration.py::test_an_outage_of_the_platform_stops_no_request",
     ),
     Mutation(
-        "a key is checked for each request",
+        "a key is checked at each request",
         "bronzerelay/configuration.py",
         "if hash_key(key) not in spec.key_hashes:",
         'known = self.__dict__.setdefault("known", {key})\n'
@@ -442,14 +442,14 @@
         "tests/test_promise_configuration.py::test_a_withdrawn_key_stops_on_open_connections_of_every_daemon",
     ),
     Mutation(
-        "the key stays at the daemon",
+        "a caller's key isn't sent beyond the daemon",
         "bronzerelay/kernel.py",
         "self._make_work(workspace, request, session.ok)",
         "self._make_work(workspace + key, request, session.ok)",
         "tests/test_promise_configuration.py::test_no_endpoint_and_no_log_sees_a_key",
     ),
     Mutation(
-        "a leaving replica gets no reads",
+        "a leaving replica gets no new reads",
         "bronzerelay/reads.py",
         " or name in leaving",
         "",
@@ -463,21 +463,21 @@
         "tests/test_promise_configuration.py::test_leaving_endpoints_get_no_new_work",
     ),
     Mutation(
-        "a stop waits for callers' requests",
+        "a stopping daemon finishes its callers' requests",
         "bronzerelay/daemon.py",
         "components.front.drain(self._settings.drain_ms)",
         "True",
         "tests/test_promise_stopping.py::test_a_rolling_restart_under_load_cuts_no_request",
     ),
     Mutation(
-        "a stop waits for peers' requests",
+        "a stopping daemon finishes its peers' requests",
         "bronzerelay/daemon.py",
         "components.server.drain(self._settings.drain_ms)",
         "True",
         "tests/test_promise_stopping.py::test_a_stopping_daemon_finishes_forwarded_requests",
     ),
     Mutation(
-        "a group is shown by the daemon that serves it",
+        "a group's status is shown only by the daemon that serves it",
         "bronzerelay/groups.py",
         "            for name in list(self._specs)\n"
         "            if self._is_serving_daemon(name)\n",
@@ -485,63 +485,63 @@
         "tests/test_group.py::test_a_group_is_listed_by_its_serving_daemon_and_by_no_standby",
     ),
     Mutation(
-        "waking the queue takes no lock while no choice can change",
+        "waking the slot queue takes no lock while no waiter's choice can change",
         "bronzerelay/slots.py",
         "        if not self._dynamic_count:\n            return\n",
         "",
         "tests/test_slots.py::test_writes_take_the_lock_twice_however_often_replicas_report",
     ),
     Mutation(
-        "what would get its slot too late is refused at once",
+        "a request that would get its slot too late is refused at once",
         "bronzerelay/slots.py",
         "if wait_ms > deadline_ms - self._clock.now_ms():",
         "if False:",
         "tests/test_slots.py::test_a_flood_that_gets_its_turn_too_late_is_refused_at_once",
     ),
     Mutation(
-        "nothing runs for a peer that has hung up",
+        "no statement runs for a peer that has closed its connection",
         "bronzerelay/instances.py",
         "if not work.is_wanted():",
         "if False:",
         "tests/test_promise_once.py::test_queued_work_of_a_closed_peer_link_takes_no_slot",
     ),
     Mutation(
-        "a peer that is slow to accept a connection isn't dead",
+        "a peer that is slow to accept a connection isn't taken for dead",
         "bronzerelay/peers.py",
         "is_unreachable = not isinstance(error, TimeoutError)",
         "is_unreachable = True",
         "tests/test_peers.py::test_a_peer_that_is_slow_to_answer_isnt_away",
     ),
     Mutation(
-        "a daemon's own pause is held against no peer",
+        "a daemon doesn't suspect its peers because of its own pause",
         "bronzerelay/membership.py",
         "if view.heard_at_ms <= self._pause.began_ms <= until_ms:",
         "if False:",
         "tests/test_membership.py::test_a_daemon_that_was_paused_takes_nobody_for_silent_by_that",
     ),
     Mutation(
-        "a lost status connection is renewed",
+        "a lost status connection is reopened",
         "bronzerelay/watch.py",
         "reconnected = self._reconnect(endpoint, failed.left_ms)",
         "reconnected = None",
         "tests/test_promise_once.py::test_lost_connection_replaces_no_primary",
     ),
     Mutation(
-        "an answer that comes again is passed over",
+        "a duplicate answer is skipped",
         "bronzerelay/dialect.py",
         "            self._got_repeated_answer = True\n",
         '            raise BrokenLinkError("it answers an earlier request")\n',
         "tests/test_dialect.py::test_a_repeated_answer_leaves_the_next_outcome_known",
     ),
     Mutation(
-        "a signal that interrupts no wait wakes the main task",
+        "a signal that interrupts no wait still wakes the main task",
         "bronzerelay/runtime.py",
         "previous_fd = signal.set_wakeup_fd(writer, warn_on_full_buffer=False)",
         "previous_fd = -1",
         "tests/test_runtime.py::TestSignal",
     ),
     Mutation(
-        "a daemon that is starting refuses connections",
+        "a daemon that is still starting refuses connections",
         "bronzerelay/front.py",
         "runtime.bind(settings.listen, self._tls)",
         "runtime.listen(settings.listen, self._tls)",
@@ -551,7 +551,7 @@
 
 
 def copy_tree(folder: Path) -> None:
-    """Copy what the tests need into `folder`."""
+    """Copy the files that the tests need into `folder`."""
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
@@ -562,47 +562,47 @@
 
 
 def run_test(folder: Path, test: str) -> tuple[bool, str]:
-    """Return whether `test` passes in `folder`, and its closing line."""
+    """Return whether `test` passes in `folder`, and the output line that says why."""
     command = [sys.executable, "-m", "pytest", "-q", "-x", test]
     try:
         done = subprocess.run(
             command, cwd=folder, capture_output=True, text=True, timeout=TIMEOUT_S
         )
     except subprocess.TimeoutExpired:
-        return False, f"no end within {TIMEOUT_S} s"
+        return False, f"timed out after {TIMEOUT_S} s"
     lines = done.stdout.strip().splitlines()
     failed = [line for line in lines if line.startswith(("FAILED", "ERROR"))]
     return done.returncode == 0, (failed or lines or ["no output"])[-1]
 
 
 def try_mutation(mutation: Mutation) -> tuple[str, str]:
-    """Return "caught", "missed" or "stale", and the closing line of the test."""
+    """Return "caught", "missed" or "stale", and a line that says why."""
     with tempfile.TemporaryDirectory(prefix="bronzerelay-mutation-") as name:
         folder = Path(name)
         copy_tree(folder)
         path = folder / mutation.file
         text = path.read_text()
         if text.count(mutation.old) != 1:
-            return "stale", f"{mutation.file} holds the text not just once"
+            return "stale", f"{mutation.file} doesn't contain the text exactly once"
         path.write_text(text.replace(mutation.old, mutation.new))
-        passes, closing = run_test(folder, mutation.test)
-        return "missed" if passes else "caught", closing
+        passes, reason = run_test(folder, mutation.test)
+        return "missed" if passes else "caught", reason
 
 
 @click.command()
 @click.option("--only", default="", help="Only mechanisms that contain this text.")
 def main(only: str) -> None:
-    """Try every mutation and end with 1 if a test missed one."""
+    """Try every mutation and exit with 1 unless each of them is caught."""
     outcomes = []
     for mutation in (*MUTATIONS, *POOLER_MUTATIONS):
         if only not in mutation.mechanism:
             continue
-        outcome, closing = try_mutation(mutation)
+        outcome, reason = try_mutation(mutation)
         outcomes.append(outcome)
-        click.echo(f"{outcome:7} {mutation.mechanism}\n        {closing}")
-    missed = len(outcomes) - outcomes.count("caught")
-    click.echo(f"{outcomes.count('caught')} caught, {missed} not caught")
-    sys.exit(1 if missed else 0)
+        click.echo(f"{outcome:7} {mutation.mechanism}\n        {reason}")
+    not_caught = len(outcomes) - outcomes.count("caught")
+    click.echo(f"{outcomes.count('caught')} caught, {not_caught} not caught")
+    sys.exit(1 if not_caught else 0)
 
 
 if __name__ == "__main__":
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -1,7 +1,7 @@
 """Runs random schedules of faults under load and checks every promise after each.
 
-A schedule is a few faults at random moments of a short load, together and twice as
-it comes. Its seed tells all of it but the timing of the machine.
+A schedule is a few faults at random times during a short load. Faults may overlap and
+repeat. The seed determines everything but the timing of the machine.
 """
 
 import json
@@ -53,20 +53,20 @@
         WorkspaceLayout("schools", rate=20, burst=20),
     ),
 )
-# One workspace sends far more than its rate.
+# Requests a second; one workspace sends far more than its rate.
 SENT = {"caterer-1": 50.0, "caterer-2": 30.0, "schools": 60.0}
 LOAD_MS = 2200
 FAULTS_PER_SCHEDULE = (1, 4)
 FAULT_WINDOW_MS = 900.0
 FAULT_LENGTH_MS = (200.0, 1400.0)
 SETTLE_MS = 900
-# A cluster's logs grow with each schedule, and so does the work of checking them.
+# A cluster's logs grow with each schedule, and so does the time to check them.
 SCHEDULES_PER_CLUSTER = 10
-LIMITS = [RateLimit(one.name, one.rate, one.burst) for one in LAYOUT.workspaces]
+LIMITS = [RateLimit(spec.name, spec.rate, spec.burst) for spec in LAYOUT.workspaces]
 
 
-class Planned(NamedTuple):
-    """A fault of a schedule: when it begins and ends, in milliseconds."""
+class PlannedFault(NamedTuple):
+    """A fault of a schedule: its index in `FAULTS`, and its begin and end."""
 
     begin_ms: float
     end_ms: float
@@ -75,7 +75,7 @@
 
 
 class Tally(NamedTuple):
-    """What a schedule gave."""
+    """The outcome of a schedule: its faults, counts of requests, and violations."""
 
     seed: int
     faults: list[str]
@@ -85,41 +85,46 @@
     violations: list[str]
 
 
-def plan_faults(runtime: Runtime, seed: int, layout: Layout) -> list[Planned]:
-    """Return the faults of the schedule with this seed."""
+def plan_faults(runtime: Runtime, seed: int, layout: Layout) -> list[PlannedFault]:
+    """Return the faults of the schedule with this seed, by their begin."""
     draw = runtime.make_random(seed)
     planned = []
     for _ in range(draw.randint(*FAULTS_PER_SCHEDULE)):
         begin_ms = draw.uniform(200.0, FAULT_WINDOW_MS)
         end_ms = begin_ms + draw.uniform(*FAULT_LENGTH_MS)
         number = draw.randrange(len(FAULTS))
-        planned.append(Planned(begin_ms, end_ms, number, draw.choice(layout.groups)))
+        planned.append(
+            PlannedFault(begin_ms, end_ms, number, draw.choice(layout.groups))
+        )
     return sorted(planned)
 
 
 def cause_faults(
-    cluster: Cluster, planned: list[Planned], record: list[Entry]
+    cluster: Cluster, planned: list[PlannedFault], record: list[Entry]
 ) -> list[str]:
-    """Cause the faults at their times and undo each at its end; return their names."""
+    """Cause the faults at their times and undo each at its end.
+
+    Return the names of the faults that could be caused.
+    """
     started_ms = cluster.runtime.clock.now_ms()
-    undo: list[tuple[float, Undo]] = []
+    pending_undos: list[tuple[float, Undo]] = []
     names = []
-    steps = [(one.begin_ms, one) for one in planned]
-    while steps or undo:
-        next_begin = steps[0][0] if steps else float("inf")
-        next_end = min((end for end, _ in undo), default=float("inf"))
+    pending_faults = [(fault.begin_ms, fault) for fault in planned]
+    while pending_faults or pending_undos:
+        next_begin = pending_faults[0][0] if pending_faults else float("inf")
+        next_end = min((end for end, _ in pending_undos), default=float("inf"))
         due_ms = started_ms + min(next_begin, next_end)
         cluster.runtime.sleep_ms(due_ms - cluster.runtime.clock.now_ms())
         if next_begin <= next_end:
-            one = steps.pop(0)[1]
-            name = FAULTS[one.number].__name__
-            undone = cause_fault(Scene(cluster, one.group, record), one.number)
-            if undone is not None:
+            fault = pending_faults.pop(0)[1]
+            name = FAULTS[fault.number].__name__
+            undo = cause_fault(Scene(cluster, fault.group, record), fault.number)
+            if undo is not None:
                 names.append(name)
-                undo.append((one.end_ms, undone))
+                pending_undos.append((fault.end_ms, undo))
         else:
-            undo.sort(key=lambda pair: pair[0])
-            undo.pop(0)[1]()
+            pending_undos.sort(key=lambda pair: pair[0])
+            pending_undos.pop(0)[1]()
     return names
 
 
@@ -128,12 +133,12 @@
     try:
         return FAULTS[number](scene)
     except (OSError, ClusterError, AdminError):
-        # Its process is frozen or stopped, or the platform is out already.
+        # The process is already frozen or stopped, or the platform is already down.
         return None
 
 
 def run_schedule(cluster: Cluster, record: list[Entry], seed: int) -> Tally:
-    """Run one schedule, heal, and check the whole record of the cluster so far."""
+    """Run one schedule, let the cluster recover, and check its whole record so far."""
     settings = LoadSettings(
         rates=SENT,
         groups=cluster.layout.groups,
@@ -153,14 +158,14 @@
     record.extend(entries)
     cluster.runtime.sleep_ms(SETTLE_MS)
     cluster.wait_ready()
-    found = run_checks(record, cluster.collect_evidence(), LIMITS)
+    violations = run_checks(record, cluster.collect_evidence(), LIMITS)
     return Tally(
         seed,
         names,
         sum(entry.ran == "ran" for entry in entries),
         sum(entry.ran == "not_run" for entry in entries),
         sum(entry.ran not in ("ran", "not_run") for entry in entries),
-        [f"{type(one).__name__}: {one}" for one in found],
+        [f"{type(violation).__name__}: {violation}" for violation in violations],
     )
 
 
@@ -176,14 +181,14 @@
             tally = run_schedule(cluster, record, seed + number)
             tallies.append(tally)
             if tally.violations:
-                # What follows would find the same ones again.
+                # The next schedules would report the same violations again.
                 break
     runtime.close(2000)
     return tallies
 
 
-def show_tally(tally: Tally) -> None:
-    """Print what a schedule gave, in a line, and its violations."""
+def print_tally(tally: Tally) -> None:
+    """Print the outcome of a schedule in a line, and its first violations."""
     click.echo(
         f"seed {tally.seed}: {tally.answered} ran, {tally.not_run} not run, "
         f"{tally.unknown} unknown; {', '.join(tally.faults)}"
@@ -194,11 +199,11 @@
 
 @click.command()
 @click.option("--schedules", default=20, show_default=True)
-@click.option("--seed", default=None, type=int, help="Fresh by default; printed.")
+@click.option("--seed", default=None, type=int, help="Random by default; printed.")
 @click.option("--output", default=str(OUTPUT), show_default=True)
 def main(schedules: int, seed: int | None, output: str) -> None:
-    """Run random fault schedules and end with 1 if a promise was broken."""
-    # Ended without this, it would leave its deployment's processes behind.
+    """Run random fault schedules and exit with 1 if a promise was broken."""
+    # Without this, SIGTERM would leave the deployment's processes running.
     end_on_sigterm()
     if seed is None:
         seed = Runtime(1).random.randrange(1_000_000_000)
@@ -206,10 +211,10 @@
     tallies: list[Tally] = []
     while len(tallies) < schedules:
         count = min(SCHEDULES_PER_CLUSTER, schedules - len(tallies))
-        done = run_cluster(seed + len(tallies), count)
-        for tally in done:
-            show_tally(tally)
-        tallies.extend(done)
+        new = run_cluster(seed + len(tallies), count)
+        for tally in new:
+            print_tally(tally)
+        tallies.extend(new)
         write_result(seed, tallies, output)
     broken = sum(bool(tally.violations) for tally in tallies)
     click.echo(f"{len(tallies)} schedules, {broken} with a broken promise")
@@ -217,14 +222,14 @@
 
 
 def write_result(seed: int, tallies: list[Tally], output: str) -> None:
-    """Write the sums, so that a run that is cut short leaves what it found."""
+    """Write the totals so far, so that an interrupted run leaves its results."""
     result = {
         "first_seed": seed,
         "schedules": len(tallies),
-        "with_violations": [one.seed for one in tallies if one.violations],
-        "ran": sum(one.answered for one in tallies),
-        "not_run": sum(one.not_run for one in tallies),
-        "unknown": sum(one.unknown for one in tallies),
+        "with_violations": [tally.seed for tally in tallies if tally.violations],
+        "ran": sum(tally.answered for tally in tallies),
+        "not_run": sum(tally.not_run for tally in tallies),
+        "unknown": sum(tally.unknown for tally in tallies),
     }
     Path(output).parent.mkdir(parents=True, exist_ok=True)
     Path(output).write_text(json.dumps(result, indent=2) + "\n")
