--- a/lab/acks.py
+++ b/lab/acks.py
@@ -1,4 +1,4 @@
-"""Measures what an acknowledgement by a majority costs, at several lags."""
+"""Measures the cost of waiting for a majority's acknowledgement, at several lags."""
 
 import json
 from pathlib import Path
@@ -22,7 +22,7 @@
 WRITES = 40
 WRITERS = 3
 DEADLINE_MS = 5000
-# The histogram holds microseconds.
+# The highest latency that the histogram can record.
 HIGHEST_US = 60_000_000
 
 
@@ -42,7 +42,7 @@
 
 
 def serve_group(runtime: Runtime, servers: list[EndpointServer]) -> GroupServer:
-    """Return the server of the group, with a primary in sight."""
+    """Return the server of the group once it has found the primary."""
     endpoints = tuple(
         EndpointSpec(f"orders-{number}", server.address, "a", 3, 20, False)
         for number, server in enumerate(servers, start=1)
@@ -63,8 +63,8 @@
 
 
 def time_writes(runtime: Runtime, server: GroupServer, histogram: HdrHistogram) -> int:
-    """Write one after the other; return how many were acknowledged."""
-    done = 0
+    """Run writes one after the other; return how many were acknowledged."""
+    acknowledged = 0
     for _ in range(WRITES):
         started_ms = runtime.clock.now_ms()
         request_id = runtime.random.randbytes(8).hex()
@@ -72,9 +72,9 @@
         request = {"group": "orders", "statement": statement}
         deadline_ms = started_ms + DEADLINE_MS
         result = server.write(Work(request_id, "north", request, {}, deadline_ms))
-        done += result.is_ok()
+        acknowledged += result.is_ok()
         histogram.record_value(int((runtime.clock.now_ms() - started_ms) * 1000))
-    return done
+    return acknowledged
 
 
 def measure(lag_ms: int, with_majority: bool) -> dict:
@@ -88,15 +88,15 @@
     tasks = [
         runtime.start(time_writes, runtime, server, histogram) for _ in range(WRITERS)
     ]
-    done = sum(task.result() for task in tasks)
-    for one in servers:
-        one.stop()
+    acknowledged = sum(task.result() for task in tasks)
+    for endpoint in servers:
+        endpoint.stop()
     runtime.close(2000)
     return {
         "lag_ms": lag_ms,
         "acknowledged_by": "majority" if with_majority else "primary alone",
         "writes": WRITES * WRITERS,
-        "acknowledged": done,
+        "acknowledged": acknowledged,
         "p50_ms": round(histogram.get_value_at_percentile(50) / 1000, 1),
         "p99_ms": round(histogram.get_value_at_percentile(99) / 1000, 1),
     }
@@ -105,14 +105,14 @@
 @click.command()
 @click.option("--output", default=str(OUTPUT), show_default=True)
 def main(output: str) -> None:
-    """Measure the latency of writes with and without the majority's word."""
-    lines = []
+    """Measure the latency of writes with and without a majority's acknowledgement."""
+    results = []
     for lag_ms in LAGS_MS:
         for with_majority in (True, False):
-            lines.append(measure(lag_ms, with_majority))
-            click.echo(json.dumps(lines[-1]))
+            results.append(measure(lag_ms, with_majority))
+            click.echo(json.dumps(results[-1]))
     Path(output).parent.mkdir(parents=True, exist_ok=True)
-    Path(output).write_text(json.dumps({"lines": lines}, indent=2) + "\n")
+    Path(output).write_text(json.dumps({"lines": results}, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/lab/failover.py
+++ b/lab/failover.py
@@ -157,7 +157,7 @@
                 "answered": sum(run.answered for run in own),
                 "not_run": sum(run.refused for run in own),
                 "unknown": sum(run.unknown for run in own),
-                # Each round also checks all earlier ones, so the last count is the total.
+                # Each round checks all earlier ones, too: the last count is the total.
                 "violations_so_far": own[-1].violations,
             }
         )
--- a/lab/heartbeats.py
+++ b/lab/heartbeats.py
@@ -1,7 +1,7 @@
-"""Measures what heartbeats cost a daemon in fleets of growing size.
+"""Measures the cost of heartbeats for a daemon in fleets of growing size.
 
-It runs real senders and receivers on a set clock, with callers of a few workspaces, and
-counts bytes and processor time. Run it with `python -m lab.heartbeats`.
+It runs real senders and receivers on a simulated clock, with callers of a few
+workspaces, and counts bytes and processor time. Run it with `python -m lab.heartbeats`.
 """
 
 import resource
@@ -13,7 +13,7 @@
 
 from lab.mutations import ROOT
 
-# The adapter's folder, which the builders use, is no package.
+# The test builders import modules from the adapter's folder, which isn't a package.
 sys.path.append(str(ROOT / "platform"))
 
 from tests.builders_heartbeats import HeartbeatFleet  # noqa: E402
@@ -21,8 +21,8 @@
 
 WARM_UP_MS = 3_000
 MEASURED_MS = 3_000
-# Operations a second that callers ask of each daemon.
-ASKED_PER_S = 8
+# Operations a second that callers send to each daemon.
+OPERATIONS_PER_S = 8
 
 
 def count_cpu_ms() -> float:
@@ -40,45 +40,45 @@
     return fleet
 
 
-def play(fleet: HeartbeatFleet, duration_ms: float, workspaces: int) -> None:
-    """Let time pass while callers come to random daemons."""
+def run_callers(fleet: HeartbeatFleet, duration_ms: float, workspaces: int) -> None:
+    """Advance the clock while callers send operations to random daemons."""
     names = list(fleet.daemons)
-    owed = 0.0
+    due = 0.0
 
-    def ask() -> None:
-        nonlocal owed
-        owed += len(names) * ASKED_PER_S / 100
-        while owed >= 1:
-            owed -= 1
+    def send_due() -> None:
+        nonlocal due
+        due += len(names) * OPERATIONS_PER_S / 100
+        while due >= 1:
+            due -= 1
             workspace = f"w{fleet.chance.randrange(workspaces)}"
             fleet.daemons[fleet.chance.choice(names)].rates.spend(workspace)
 
-    fleet.run(duration_ms, ask)
+    fleet.run(duration_ms, send_due)
 
 
 def measure(daemons: int, domains: int, workspaces: int) -> list[str]:
     """Return a row of the table."""
     fleet = make_fleet(daemons, domains, workspaces)
-    play(fleet, WARM_UP_MS, workspaces)
+    run_callers(fleet, WARM_UP_MS, workspaces)
     relays = {daemon.name for daemon in fleet.list_relays()}
-    before = {name: one.gossip.bytes_sent for name, one in fleet.daemons.items()}
-    between = fleet.network.count_between_domains()
+    before = {name: daemon.gossip.bytes_sent for name, daemon in fleet.daemons.items()}
+    across_domains = fleet.network.count_between_domains()
     cpu_ms = count_cpu_ms()
-    play(fleet, MEASURED_MS, workspaces)
+    run_callers(fleet, MEASURED_MS, workspaces)
     cpu_ms = count_cpu_ms() - cpu_ms
-    between = fleet.network.count_between_domains() - between
+    across_domains = fleet.network.count_between_domains() - across_domains
     seconds = MEASURED_MS / 1000
     sent = {
-        name: (one.gossip.bytes_sent - before[name]) / seconds
-        for name, one in fleet.daemons.items()
+        name: (daemon.gossip.bytes_sent - before[name]) / seconds
+        for name, daemon in fleet.daemons.items()
     }
-    behind = [rate for name, rate in sent.items() if name not in relays]
+    others = [rate for name, rate in sent.items() if name not in relays]
     relaying = [rate for name, rate in sent.items() if name in relays]
     return [
         str(daemons),
-        f"{sum(behind) / max(1, len(behind)):,.0f}",
+        f"{sum(others) / max(1, len(others)):,.0f}",
         f"{sum(relaying) / max(1, len(relaying)):,.0f}",
-        f"{between / seconds / daemons:,.0f}",
+        f"{across_domains / seconds / daemons:,.0f}",
         f"{cpu_ms / seconds / daemons:.2f}",
     ]
 
@@ -88,7 +88,7 @@
 @click.option("--domains", default=3, show_default=True)
 @click.option("--workspaces", default=83, show_default=True)
 def main(sizes: str, domains: int, workspaces: int) -> None:
-    """Print bytes and processor time of heartbeats for fleets of some sizes."""
+    """Print bytes and processor time of heartbeats for fleets of several sizes."""
     table = Table(
         "daemons",
         "sent by a daemon, B/s",
--- a/lab/links.py
+++ b/lab/links.py
@@ -1,4 +1,4 @@
-"""Measurements of peers' calls, of slots and of callers' connections."""
+"""Measurements of calls between peers, of slots, and of callers' connections."""
 
 import subprocess
 import sys
@@ -21,7 +21,6 @@
 ANY_PORT = Address("127.0.0.1", 0)
 SECRET = "secret-of-the-lab"
 CALL_TIMEOUT_MS = 2000
-# A peer's call begins and ends on the other side as well: both sides' processor time.
 SLOT_ROUNDS = 400
 HOLD_MS = 0.2
 DEADLINE_MS = 60_000
@@ -31,9 +30,9 @@
 
 
 def measure_calls(size: int) -> dict[str, float]:
-    """Return what `size` heartbeats without views and as many loans cost in all.
+    """Return the total cost of `size` heartbeats without views, and of `size` loans.
 
-    Both ends run in this process, so that the time is that of the two together.
+    Both ends run in this process, so the processor time is that of both together.
     """
     runtime = CountedRuntime(task_limit=16)
     handler = SimpleNamespace(
@@ -79,7 +78,7 @@
 def measure_slots(size: int) -> dict[str, float]:
     """Return the time to acquire and release a slot with `size` tasks contending.
 
-    Each is of a workspace of its own, and holds its slot for a moment.
+    Each task belongs to its own workspace, and holds a slot for `HOLD_MS`.
     """
     runtime = Runtime(task_limit=size + 1, seed=1)
     slots = SlotQueue(runtime, SLOT_ROUNDS)
@@ -101,10 +100,10 @@
 
 
 class MeasuredFront:
-    """A front in this process, whose callers are another process."""
+    """A front in this process, with callers in another process."""
 
     def __init__(self, connections: int):
-        # As in the daemon's main.
+        # The same interval as in the daemon's main function.
         sys.setswitchinterval(ADVISED_SWITCH_INTERVAL_S)
         self.runtime = Runtime(task_limit=connections + 16)
         handlers = Handlers(_answer, lambda: Ok(None), dict, lambda: b"")
@@ -118,7 +117,7 @@
         self.front.start()
 
     def start_callers(self, idle: int, active: int) -> subprocess.Popen:
-        """Start callers that hold idle connections or keep active ones busy."""
+        """Start callers that open idle connections, and active ones that they use."""
         address = str(self.front.address)
         command = [sys.executable, "-m", "lab.callers", address, str(idle), str(active)]
         return subprocess.Popen(
@@ -126,15 +125,15 @@
         )
 
     def close(self) -> None:
-        """End the front and its tasks."""
+        """Stop the front and its tasks."""
         self.front.drain(0)
         self.runtime.close(CALL_TIMEOUT_MS)
 
 
 def wait_until_ready(callers: subprocess.Popen) -> None:
-    """Wait until the callers are connected, or raise ChildProcessError."""
+    """Wait until the callers are connected; raise ChildProcessError if they fail."""
     if callers.stdout.readline().strip() != "ready":
-        raise ChildProcessError("the callers didn't connect")
+        raise ChildProcessError("the callers couldn't connect")
 
 
 def _answer(workspace: str, key: str, request: dict, request_id: str) -> Any:
@@ -142,32 +141,32 @@
 
 
 def measure_idle(size: int) -> dict[str, float]:
-    """Return memory and processor time of `size` connections that wait.
+    """Return memory and processor time of `size` idle connections.
 
-    Each has run one statement before. Then the front is drained, as at a planned
-    stop, while the callers stay connected until its last word.
+    Each connection has run one statement before. Then the front is drained, as at a
+    planned stop, while the callers stay connected until the front closes.
     """
     front = MeasuredFront(size)
-    before_kb, began_ms = resident_kb(), own_cpu_ms()
+    before_kb, before_cpu_ms = resident_kb(), own_cpu_ms()
     callers = front.start_callers(size, 0)
     wait_until_ready(callers)
-    found = {
+    figures = {
         "memory_kb": resident_kb() - before_kb,
-        "opening_cpu_ms": own_cpu_ms() - began_ms,
+        "opening_cpu_ms": own_cpu_ms() - before_cpu_ms,
     }
     started_ms = own_cpu_ms()
     front.runtime.sleep_ms(IDLE_MS)
-    found["cpu_ms_per_s"] = (own_cpu_ms() - started_ms) * 1000 / IDLE_MS
+    figures["cpu_ms_per_s"] = (own_cpu_ms() - started_ms) * 1000 / IDLE_MS
     started_ms, began_ms = own_cpu_ms(), front.runtime.clock.now_ms()
     front.front.drain(DRAIN_MS)
-    found["drain_cpu_ms"] = own_cpu_ms() - started_ms
-    found["drain_ms"] = front.runtime.clock.now_ms() - began_ms
+    figures["drain_cpu_ms"] = own_cpu_ms() - started_ms
+    figures["drain_ms"] = front.runtime.clock.now_ms() - began_ms
     callers.kill()
-    return found
+    return figures
 
 
 def measure_active(size: int) -> dict[str, float]:
-    """Return the front's time for a statement, with `size` connections busy."""
+    """Return the front's processor time per statement with `size` busy connections."""
     front = MeasuredFront(size)
     callers = front.start_callers(0, size)
     try:
@@ -175,12 +174,12 @@
         started_ms = own_cpu_ms()
         callers.stdin.write("run\n")
         callers.stdin.flush()
-        done = int(callers.stdout.readline())
+        statements = int(callers.stdout.readline())
         cpu_ms = own_cpu_ms() - started_ms
     finally:
         callers.communicate("end\n")
         front.close()
     return {
-        "us": cpu_ms * 1000 / done,
-        "statements_per_s": done * 1000 / ACTIVE_MS,
+        "us": cpu_ms * 1000 / statements,
+        "statements_per_s": statements * 1000 / ACTIVE_MS,
     }
--- a/lab/members.py
+++ b/lab/members.py
@@ -1,4 +1,4 @@
-"""Measurements of membership, roster, routing and the graph to spread over."""
+"""Measurements of membership, the roster, routing, and the gossip graph."""
 
 from collections import deque
 
@@ -16,22 +16,23 @@
 from bronzerelay.types import Roster
 from lab.measure import cpu_us_per_call, held_kb, own_cpu_ms
 
-# Rings of the graph; a member has two neighbours on each.
+# Rings of the gossip graph; a member has two neighbours on each.
 GRAPH_RINGS = 3
 FAILURE_DOMAINS = 21
-# Ages in a view are milliseconds of a second or so.
+# The ages in a view, which are usually below a second.
 VIEW_AGE_MS = 400
 OWN_NAME = "vm-000001"
-VIEW_LIFE_MS = 3_600_000
+# Members are not suspected during a measurement.
+SUSPECT_MS = 3_600_000
 
 
 def name_members(count: int) -> list[str]:
-    """Return names as long as those of a large fleet."""
+    """Return names of the length that they have in a large fleet."""
     return [f"vm-{number:06}" for number in range(1, count + 1)]
 
 
 def build_roster(count: int) -> Roster:
-    """Return a roster of `count` daemons in as many failure domains as the letter's."""
+    """Return a roster of `count` daemons over `FAILURE_DOMAINS` failure domains."""
     members = [
         {
             "name": name,
@@ -60,8 +61,8 @@
 
 
 def build_membership(runtime: Runtime, count: int) -> Membership:
-    """Return a membership that has heard of all of its `count` members."""
-    settings = MembershipSettings(OWN_NAME, suspect_ms=VIEW_LIFE_MS)
+    """Return a membership that has recently heard from all `count` members."""
+    settings = MembershipSettings(OWN_NAME, suspect_ms=SUSPECT_MS)
     membership = Membership(runtime, settings)
     membership.accept_roster(build_roster(count))
     membership.merge_reply(build_views(count), runtime.clock.now_ms())
@@ -69,7 +70,7 @@
 
 
 def encode_beat(beat: Beat) -> bytes:
-    """Return a heartbeat as it travels, without the frame and the call's name."""
+    """Return an encoded heartbeat, without the frame and the name of the call."""
     buffer = TMemoryBuffer()
     beat.write(TBinaryProtocolAccelerated(buffer))
     return buffer.getvalue()
@@ -83,7 +84,7 @@
 
 
 def measure_routing(size: int) -> dict[str, float]:
-    """Return what admission and routing of a request cost with `size` members."""
+    """Return the processor time to admit and route a request with `size` members."""
     runtime = Runtime(task_limit=4, seed=1)
     membership = build_membership(runtime, size)
     groups = Groups(
@@ -107,7 +108,7 @@
 
 
 def measure_beats(size: int) -> dict[str, float]:
-    """Return bytes and processor time of a heartbeat with `size` whole views."""
+    """Return bytes and processor time of a heartbeat that carries `size` views."""
     runtime = Runtime(task_limit=4, seed=1)
     membership = build_membership(runtime, size)
 
@@ -123,40 +124,40 @@
 
     data = make()
 
-    def take() -> None:
+    def receive() -> None:
         views = decode_beat(data).views
         membership.merge_reply(views, runtime.clock.now_ms())
 
     return {
         "bytes": len(data),
         "make_us": cpu_us_per_call(make),
-        "take_us": cpu_us_per_call(take),
+        "take_us": cpu_us_per_call(receive),
         "memory_kb": held_kb(lambda: build_membership(runtime, size)),
     }
 
 
 def measure_roster(size: int) -> dict[str, float]:
-    """Return bytes of a roster of `size` members, and the time to read it."""
+    """Return bytes of a roster of `size` members, and the time to accept it."""
     roster = build_roster(size)
     data = msgspec.json.encode(roster)
     decoder = msgspec.json.Decoder(Roster)
     runtime = Runtime(task_limit=4, seed=1)
     membership = Membership(runtime, MembershipSettings(OWN_NAME))
 
-    def take() -> None:
-        taken = decoder.decode(data)
-        taken["epoch"] = membership.roster["epoch"] + 1
-        membership.accept_roster(taken)
+    def accept() -> None:
+        received = decoder.decode(data)
+        received["epoch"] = membership.roster["epoch"] + 1
+        membership.accept_roster(received)
 
-    return {"bytes": len(data), "take_us": cpu_us_per_call(take)}
+    return {"bytes": len(data), "take_us": cpu_us_per_call(accept)}
 
 
 def build_graph(size: int) -> list[set[int]]:
-    """Return the neighbours of each member on a few rings, each an order by hash.
+    """Return the neighbours of each member on a few rings, each ordered by a hash.
 
-    Whoever knows the roster knows the rings. Each member has as many successors,
-    which it beats, as predecessors, which beat it; edges drawn at random would
-    leave some members without anybody who watches them.
+    The rings can be computed from the roster. Each member sends heartbeats to one
+    successor on each ring and receives them from one predecessor. With random edges,
+    some members would have no peer that notices when they fail.
     """
     names = name_members(size)
     numbers = {name: number for number, name in enumerate(names)}
@@ -172,25 +173,25 @@
 def count_hops(neighbors: list[set[int]], start: int, lost: set[int]) -> list[int]:
     """Return how many hops a flood from `start` takes to each member it reaches."""
     hops = {start: 0}
-    waiting = deque([start])
-    while waiting:
-        member = waiting.popleft()
+    queue = deque([start])
+    while queue:
+        member = queue.popleft()
         for other in neighbors[member] - lost:
             if other not in hops:
                 hops[other] = hops[member] + 1
-                waiting.append(other)
+                queue.append(other)
     return list(hops.values())
 
 
 def measure_graph(size: int) -> dict[str, float]:
-    """Return degree, hops, and reach with a failure domain lost, of a random graph.
+    """Return the degree of the gossip graph, and how far floods reach in it.
 
-    `hops` is the longest of floods from 40 members. `unreached` counts the members
-    left that such a flood misses when every 21st one is gone.
+    `hops` is the longest path of floods from 40 members. `unreached` counts the alive
+    members that such a flood misses when a failure domain, every 21st member, is lost.
     """
-    draw = Runtime(task_limit=1, seed=1).make_random(size)
+    random = Runtime(task_limit=1, seed=1).make_random(size)
     neighbors = build_graph(size)
-    starts = draw.sample(range(size), 40)
+    starts = random.sample(range(size), 40)
     lost = set(range(0, size, FAILURE_DOMAINS))
     hops = [max(count_hops(neighbors, start, set())) for start in starts]
     alive = [start for start in starts if start not in lost]
@@ -203,7 +204,7 @@
 
 
 def measure_first_ranking(size: int) -> dict[str, float]:
-    """Return the time to rank `size` members for one name the first time."""
+    """Return the time to rank `size` members for a name that isn't cached yet."""
     names = name_members(size)
     started_ms = own_cpu_ms()
     calls = 0
--- a/lab/rates.py
+++ b/lab/rates.py
@@ -1,7 +1,7 @@
-"""Measures wrongful refusals and calls of three ways to keep a workspace's rate.
+"""Measures wrongful refusals and calls of three ways to enforce a workspace's rate.
 
-Arrivals are those of an open loop, and time is a clock of its own, so that one seed
-gives one result. Run it with `python -m lab.rates`.
+Requests arrive in an open loop on a simulated clock, so the same seed always gives the
+same result. Run it with `python -m lab.rates`.
 """
 
 from collections.abc import Callable
@@ -24,23 +24,25 @@
 from tests.fleet import WORKSPACE, Fate, Fleet, make_spec
 
 RESULT_PATH = Path(__file__).resolve().parent.parent / "docs/measurements/rates.json"
-# A call between daemons about 1 ms apart.
-WAY_MS = 0.5
+# One-way delay of a call between daemons, whose round trip is about 1 ms.
+ONE_WAY_MS = 0.5
 WARM_UP_MS = 2000
 MOVE_MS = 1000
-DEAD_FROM_PART = 0.4
-DEAD_TO_PART = 0.6
-# How long the others go on asking a dead daemon before they take it for dead.
+# The fractions of the run between which a daemon is dead.
+DEAD_FROM = 0.4
+DEAD_UNTIL = 0.6
+# How long the others keep calling a dead daemon before they consider it dead.
 SUSPECT_MS = 700
-PER = 10_000
+# Wrongful refusals are counted per this many requests.
+PER_REQUESTS = 10_000
 KINDS = ("balanced", "one daemon", "moving", "holder dies")
 POLICIES = ("loans", "even split", "accountant")
 
 
 class Case(NamedTuple):
-    """One workspace under one kind of traffic, kept in one way.
+    """One workspace under one kind of traffic, with its rate enforced by one policy.
 
-    `load` is what it sends, as a multiple of its rate.
+    `load` is how much it sends, as a multiple of its rate.
     """
 
     layout: str
@@ -53,7 +55,11 @@
 
 
 class Figures(NamedTuple):
-    """What came of a case; wrongful refusals are those that one bucket admits."""
+    """The results of a case.
+
+    `inside` counts the requests that a single token bucket would have admitted, and
+    `wrongful` those of them that were refused.
+    """
 
     requests: int
     inside: int
@@ -63,58 +69,63 @@
     excess: float
 
 
-class Setting(NamedTuple):
-    """A fleet with the way to spend a token at one of its daemons."""
+class Simulation(NamedTuple):
+    """A simulated fleet; `spend` spends a token at a daemon under the policy."""
 
     fleet: Fleet
     spend: Callable[[str], bool]
     calls: list[str]
 
 
-def open_setting(case: Case, daemons: list[str]) -> Setting:
-    """Return a fleet whose buckets are full, and the way to spend that is measured."""
+def make_simulation(case: Case, daemons: list[str]) -> Simulation:
+    """Return a fleet that enforces the workspace's rate by the policy of the case."""
     spec = make_spec(case.workspace.rate, case.workspace.burst)
     fleet = Fleet(daemons, spec, case.seed)
     fleet.beat_all()
     calls: list[str] = []
     if case.policy == "accountant":
-        return Setting(fleet, open_accountant(fleet, spec, calls), calls)
+        return Simulation(fleet, make_accountant_spend(fleet, spec, calls), calls)
     if case.policy == "even split":
-        return Setting(fleet, open_even_split(fleet, spec, daemons), calls)
+        return Simulation(fleet, make_even_split_spend(fleet, spec, daemons), calls)
 
     def count_call() -> Fate:
         calls.append("loan")
-        return Fate(WAY_MS, WAY_MS)
+        return Fate(ONE_WAY_MS, ONE_WAY_MS)
 
     fleet.fates = count_call
-    # A loan on its way takes no part in what others do: they have their own turns.
+    # No other requests are simulated while a loan is in transit: they have their own
+    # arrival times.
     fleet.spend = lambda name, count: 0
 
     def spend(daemon: str) -> bool:
         return fleet.spend_one(daemon)
 
-    return Setting(fleet, spend, calls)
+    return Simulation(fleet, spend, calls)
 
 
-def open_even_split(fleet: Fleet, spec: WorkspaceSpec, daemons: list[str]) -> Callable:
-    """Return the way to spend when each daemon has its part and nothing else."""
+def make_even_split_spend(
+    fleet: Fleet, spec: WorkspaceSpec, daemons: list[str]
+) -> Callable:
+    """Return a function that spends from each daemon's fixed equal share."""
     start_ms = fleet.clock.now_ms()
-    holding = Share(spec.rate / len(daemons), spec.burst / len(daemons))
+    share = Share(spec.rate / len(daemons), spec.burst / len(daemons))
     buckets = {name: Bucket(start_ms) for name in daemons}
     for bucket in buckets.values():
-        bucket.set_share(holding, start_ms)
+        bucket.set_share(share, start_ms)
 
     def spend(daemon: str) -> bool:
-        taken = buckets[daemon].try_spend(fleet.clock.now_ms())
-        if taken:
+        is_spent = buckets[daemon].try_spend(fleet.clock.now_ms())
+        if is_spent:
             fleet.spent_ms.append(fleet.clock.now_ms())
-        return taken
+        return is_spent
 
     return spend
 
 
-def open_accountant(fleet: Fleet, spec: WorkspaceSpec, calls: list[str]) -> Callable:
-    """Return the way to spend by a single accountant."""
+def make_accountant_spend(
+    fleet: Fleet, spec: WorkspaceSpec, calls: list[str]
+) -> Callable:
+    """Return a function that spends from a bucket at a single accountant."""
     last_alive_ms: dict[str, float] = {}
 
     def find_alive() -> list[str]:
@@ -130,24 +141,24 @@
 
     def call(daemon: str, holder: str) -> bool:
         calls.append(holder)
-        answers = holder not in fleet.frozen
-        fleet.pass_time(2 * WAY_MS if answers else CALL_TIMEOUT_MS)
-        return answers
+        is_answered = holder not in fleet.frozen
+        fleet.pass_time(2 * ONE_WAY_MS if is_answered else CALL_TIMEOUT_MS)
+        return is_answered
 
     accountant = Accountant(spec, fleet.clock.now_ms, find_alive, call)
 
     def spend(daemon: str) -> bool:
-        ended = accountant.spend(daemon)
-        if ended.is_ok():
+        result = accountant.spend(daemon)
+        if result.is_ok():
             fleet.spent_ms.append(fleet.clock.now_ms())
-        return ended.is_ok()
+        return result.is_ok()
 
     spend("vm-1")
     return spend
 
 
 def pick_daemon(draw: Random, kind: str, daemons: list[str], due_ms: float) -> str:
-    """Return the daemon that a request goes to."""
+    """Return the daemon to which a request is sent."""
     if kind in ("balanced", "holder dies"):
         return draw.choice(daemons)
     if kind == "moving":
@@ -156,52 +167,52 @@
 
 
 def run_case(case: Case) -> Figures:
-    """Send the requests of a case and return what came of them."""
+    """Send the requests of a case and return the results."""
     daemons = name_daemons(LAYOUTS[case.layout])
-    setting = open_setting(case, daemons)
-    fleet, draw = setting.fleet, Random(case.seed)
+    simulation = make_simulation(case, daemons)
+    fleet, draw = simulation.fleet, Random(case.seed)
     fleet.pass_time(WARM_UP_MS)
-    setting.calls.clear()
+    simulation.calls.clear()
     start_ms = fleet.clock.now_ms()
     limit = RateLimit(WORKSPACE, case.workspace.rate, case.workspace.burst)
-    naive = NaiveBucket([limit])
+    single_bucket = NaiveBucket([limit])
     gap_ms = 1000 / (case.workspace.rate * case.load)
     due_ms = draw.expovariate(1 / gap_ms)
     requests = inside = wrongful = spent = 0
     while due_ms < case.duration_ms:
-        # Each request begins when it is due, whatever the one before it waited for.
+        # Each request starts when it is due, however long the previous one waited.
         fleet.clock.time_ms = start_ms + due_ms
-        living = daemons
+        alive = daemons
         if case.kind == "holder dies":
-            living = kill_for_a_while(fleet, case, due_ms, daemons)
-        daemon = pick_daemon(draw, case.kind, living, due_ms)
+            alive = freeze_holder(fleet, case, due_ms, daemons)
+        daemon = pick_daemon(draw, case.kind, alive, due_ms)
         requests += 1
-        got_in = setting.spend(daemon)
-        spent += got_in
-        naive.advance(start_ms + due_ms)
-        if naive.take():
+        is_admitted = simulation.spend(daemon)
+        spent += is_admitted
+        single_bucket.advance(start_ms + due_ms)
+        if single_bucket.take():
             inside += 1
-            wrongful += not got_in
+            wrongful += not is_admitted
         due_ms += draw.expovariate(1 / gap_ms)
     fleet.note_limit()
     excess = fleet.find_excess()
-    return Figures(requests, inside, wrongful, spent, len(setting.calls), excess)
+    return Figures(requests, inside, wrongful, spent, len(simulation.calls), excess)
 
 
-def kill_for_a_while(
+def freeze_holder(
     fleet: Fleet, case: Case, due_ms: float, daemons: list[str]
 ) -> list[str]:
-    """Keep a daemon down for the middle of the run; return those that live.
+    """Freeze a daemon in the middle of the run; return the daemons that are alive.
 
-    It is the one that the policy needs most. Callers are sent to the others at once,
-    as by a balancer that sees it refuse.
+    It is the first holder of the workspace's rate, or its accountant. Callers are sent
+    to the other daemons at once, as by a load balancer that sees it refuse connections.
     """
     spec = make_spec(case.workspace.rate, case.workspace.burst)
     dead = list_holders(spec, daemons)[0]
     if case.policy == "accountant":
         dead = find_accountant(spec, daemons)
-    part = due_ms / case.duration_ms
-    if DEAD_FROM_PART <= part < DEAD_TO_PART:
+    progress = due_ms / case.duration_ms
+    if DEAD_FROM <= progress < DEAD_UNTIL:
         fleet.frozen.add(dead)
         return [name for name in daemons if name != dead]
     fleet.frozen.discard(dead)
@@ -209,7 +220,7 @@
 
 
 def list_cases(load: float, duration_ms: float, seed: int) -> list[Case]:
-    """Return each workspace of today's sizes under each kind, kept in each way."""
+    """Return a case for each workspace, kind of traffic and policy."""
     return [
         Case(name, workspace, kind, policy, load, duration_ms, seed)
         for name in ("vianda", "returns")
@@ -219,29 +230,31 @@
     ]
 
 
-def sum_up(cases: list[Case], found: list[Figures]) -> list[dict[str, Any]]:
+def summarise(cases: list[Case], results: list[Figures]) -> list[dict[str, Any]]:
     """Return one row for each deployment, kind and policy."""
     rows: dict[tuple, list[Figures]] = {}
-    for case, figures in zip(cases, found, strict=True):
+    for case, figures in zip(cases, results, strict=True):
         rows.setdefault((case.layout, case.kind, case.policy), []).append(figures)
     return [
         {
             "layout": layout,
             "traffic": kind,
             "policy": policy,
-            "requests": sum(one.requests for one in own),
-            "inside": sum(one.inside for one in own),
-            "wrongful": sum(one.wrongful for one in own),
+            "requests": sum(figures.requests for figures in own),
+            "inside": sum(figures.inside for figures in own),
+            "wrongful": sum(figures.wrongful for figures in own),
             "wrongful_per_10000": round(
-                PER
-                * sum(one.wrongful for one in own)
-                / max(1, sum(one.inside for one in own)),
+                PER_REQUESTS
+                * sum(figures.wrongful for figures in own)
+                / max(1, sum(figures.inside for figures in own)),
                 2,
             ),
             "calls_per_request": round(
-                sum(one.calls for one in own) / sum(one.requests for one in own), 3
+                sum(figures.calls for figures in own)
+                / sum(figures.requests for figures in own),
+                3,
             ),
-            "worst_excess_tokens": round(max(one.excess for one in own), 6),
+            "worst_excess_tokens": round(max(figures.excess for figures in own), 6),
         }
         for (layout, kind, policy), own in rows.items()
     ]
@@ -265,7 +278,7 @@
 def main(load: float, seconds: float, seed: int, keep: bool) -> None:
     """Measure wrongful refusals by loans, an even split, and an accountant."""
     cases = list_cases(load, seconds * 1000, seed)
-    rows = sum_up(cases, [run_case(case) for case in cases])
+    rows = summarise(cases, [run_case(case) for case in cases])
     print_rows(rows)
     if keep:
         result = {"load": load, "seconds": seconds, "seed": seed, "rows": rows}
--- a/lab/reads.py
+++ b/lab/reads.py
@@ -1,4 +1,4 @@
-"""Measures the share of reads on replicas, beside a daemon that uses none."""
+"""Measures the share of reads on replicas, against a daemon that uses primaries only."""
 
 import json
 import statistics
@@ -16,15 +16,15 @@
 
 LAGS_MS = (5, 50, 500)
 WRITE_SHARE = 0.1
-# The part of each workspace's rate that the load uses.
-RATE_PART = 0.5
+# The fraction of each workspace's rate that the load uses.
+RATE_FRACTION = 0.5
 DAEMONS = {"replicas": "bronzerelay.daemon", "primary only": "lab.primary_daemon"}
 SETTLE_MS = 1000
 OUTPUT = Path("docs/measurements/reads.json")
 
 
-class Line(NamedTuple):
-    """A run's outcome; times are milliseconds of reads that ran."""
+class RunFigures(NamedTuple):
+    """The results of a run; latencies are those of requests that ran."""
 
     policy: str
     lag_ms: int
@@ -39,12 +39,12 @@
 
 
 def run_load(layout: Layout, module: str, seed: int, duration_ms: int) -> tuple:
-    """Return the record of a load and the violations that it shows."""
+    """Return the record of a load and the violations found in it."""
     runtime = Runtime(600, seed=seed)
     with Cluster(runtime, layout, daemon_module=module) as cluster:
         cluster.wait_ready(cluster.put_bundle())
         runtime.sleep_ms(SETTLE_MS)
-        rates = {one.name: one.rate * RATE_PART for one in layout.workspaces}
+        rates = {spec.name: spec.rate * RATE_FRACTION for spec in layout.workspaces}
         settings = LoadSettings(
             rates=rates,
             groups=layout.groups,
@@ -61,14 +61,16 @@
     return record, violations
 
 
-def summarise(policy: str, lag_ms: int, record: list[Entry], violations: list) -> Line:
-    """Return the line of a run."""
+def summarise(
+    policy: str, lag_ms: int, record: list[Entry], violations: list
+) -> RunFigures:
+    """Return the figures of a run."""
     ran = [entry for entry in record if entry.ran == "ran"]
     reads = [entry for entry in ran if not entry.is_write]
     writes = [entry.latency_ms for entry in ran if entry.is_write]
     latencies = [entry.latency_ms for entry in reads]
     on_replicas = sum(entry.role == "replica" for entry in reads)
-    return Line(
+    return RunFigures(
         policy,
         lag_ms,
         len(reads),
@@ -88,18 +90,18 @@
 @click.option("--output", default=str(OUTPUT), show_default=True)
 def main(seconds: int, seed: int, output: str) -> None:
     """Measure each policy at each lag, with one write in ten requests."""
-    lines = []
+    results = []
     for lag_ms in LAGS_MS:
         layout = VIANDA._replace(lag_ms=lag_ms, vm_lag_ms=200)
         for policy, module in DAEMONS.items():
             record, violations = run_load(layout, module, seed, seconds * 1000)
-            line = summarise(policy, lag_ms, record, violations)
-            click.echo(json.dumps(line._asdict()))
+            figures = summarise(policy, lag_ms, record, violations)
+            click.echo(json.dumps(figures._asdict()))
             for violation in violations[:3]:
                 click.echo(f"    {violation}")
-            lines.append(line._asdict())
+            results.append(figures._asdict())
     Path(output).parent.mkdir(parents=True, exist_ok=True)
-    result = {"seconds": seconds, "seed": seed, "layout": "vianda", "lines": lines}
+    result = {"seconds": seconds, "seed": seed, "layout": "vianda", "lines": results}
     Path(output).write_text(json.dumps(result, indent=2) + "\n")
 
 
--- a/lab/slots.py
+++ b/lab/slots.py
@@ -1,4 +1,4 @@
-"""Compares ways to share an instance's few slots between nine daemons."""
+"""Compares ways to share the few slots of an instance among nine daemons."""
 
 import functools
 import json
@@ -29,12 +29,13 @@
 HIGHEST_US = 60_000_000
 STATEMENT = {"verb": "get", "row": "tray"}
 
-# Runs one read for a daemon by its number; returns whether it was served.
+# Runs one read at a daemon, given by its number, until a deadline; returns whether it
+# was served.
 Send = Callable[[int, float], bool]
 
 
 class Tally(NamedTuple):
-    """What a run counts, and the pools to close after it."""
+    """The counts of a run, and the pools to close after it."""
 
     histogram: HdrHistogram
     refused: list[float]
@@ -43,18 +44,18 @@
 
 
 def make_direct(runtime: Runtime, spec: EndpointSpec, tally: Tally) -> Send:
-    """Return a sender where each daemon has its part of the connections."""
+    """Return a `Send` with which each daemon has its own share of the connections."""
     pools = [make_pool(runtime, spec, CONNECTIONS // DAEMONS) for _ in range(DAEMONS)]
 
     tally.pools.extend(pools)
 
     def send(daemon: int, deadline_ms: float) -> bool:
         while runtime.clock.now_ms() < deadline_ms:
-            lent = pools[daemon].lend(max(1.0, deadline_ms - runtime.clock.now_ms()))
-            if not lent.is_ok():
+            link = pools[daemon].lend(max(1.0, deadline_ms - runtime.clock.now_ms()))
+            if not link.is_ok():
                 return False
-            result = lent.ok.read("north", STATEMENT, TIMEOUT_MS)
-            pools[daemon].give_back(lent.ok)
+            result = link.ok.read("north", STATEMENT, TIMEOUT_MS)
+            pools[daemon].give_back(link.ok)
             if result.is_ok():
                 return True
             tally.busy.append(0.0)
@@ -65,21 +66,21 @@
 
 
 def make_serving(runtime: Runtime, spec: EndpointSpec, tally: Tally) -> Send:
-    """Return a sender where one daemon queues for all."""
+    """Return a `Send` with which one daemon queues the reads of all daemons."""
     pool = make_pool(runtime, spec, CONNECTIONS // 2)
     tally.pools.append(pool)
     slots = SlotQueue(runtime, 500)
     slots.set_endpoints({spec.name: SLOTS})
 
     def send(daemon: int, deadline_ms: float) -> bool:
-        found = slots.acquire(
+        slot = slots.acquire(
             f"daemon-{daemon}", lambda free: free[0] if free else None, deadline_ms
         )
-        if not found.is_ok():
+        if not slot.is_ok():
             return False
-        lent = pool.lend(TIMEOUT_MS)
-        result = lent.ok.read("north", STATEMENT, TIMEOUT_MS)
-        pool.give_back(lent.ok)
+        link = pool.lend(TIMEOUT_MS)
+        result = link.ok.read("north", STATEMENT, TIMEOUT_MS)
+        pool.give_back(link.ok)
         slots.release(spec.name)
         if not result.is_ok():
             tally.busy.append(0.0)
@@ -98,24 +99,24 @@
 
 
 def run_load(runtime: Runtime, way: str, spec: EndpointSpec, load: float) -> dict:
-    """Return the latencies at a part `load` of what the slots can serve."""
+    """Return the latencies at a load that is a fraction of what the slots can serve."""
     tally = Tally(HdrHistogram(1, HIGHEST_US, 3), [], [], [])
     send = WAYS[way](runtime, spec, tally)
     rate = load * SLOTS * 1000 / (SERVICE_MS + 1)
     started_ms = due_ms = runtime.clock.now_ms() + 50
     tasks = []
 
-    def run_one(daemon: int, due_ms: float) -> None:
+    def run_read(daemon: int, due_ms: float) -> None:
         if not send(daemon, due_ms + DEADLINE_MS):
             tally.refused.append(due_ms)
-        taken_us = int((runtime.clock.now_ms() - due_ms) * 1000)
-        tally.histogram.record_value(max(1, taken_us))
+        latency_us = int((runtime.clock.now_ms() - due_ms) * 1000)
+        tally.histogram.record_value(max(1, latency_us))
 
     while due_ms < started_ms + DURATION_MS:
         due_ms += runtime.random.expovariate(rate) * 1000
         runtime.sleep_ms(due_ms - runtime.clock.now_ms())
         daemon = runtime.random.randrange(DAEMONS)
-        tasks.append(runtime.start(run_one, daemon, due_ms))
+        tasks.append(runtime.start(run_read, daemon, due_ms))
     for task in tasks:
         task.result()
     for pool in tally.pools:
@@ -135,7 +136,7 @@
 @click.option("--output", default=str(OUTPUT), show_default=True)
 def main(output: str) -> None:
     """Compare the ways at several loads."""
-    lines = []
+    results = []
     runtime = Runtime(1000, seed=1)
     layout = DEMO._replace(
         groups=("orders",),
@@ -149,12 +150,12 @@
         spec = EndpointSpec("orders-1", address, "a", SLOTS, CONNECTIONS, False)
         for load in LOADS:
             for way in WAYS:
-                lines.append(run_load(runtime, way, spec, load))
-                click.echo(json.dumps(lines[-1]))
+                results.append(run_load(runtime, way, spec, load))
+                click.echo(json.dumps(results[-1]))
                 runtime.sleep_ms(500)
     runtime.close(2000)
     Path(output).parent.mkdir(parents=True, exist_ok=True)
-    Path(output).write_text(json.dumps({"lines": lines}, indent=2) + "\n")
+    Path(output).write_text(json.dumps({"lines": results}, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/lab/watching.py
+++ b/lab/watching.py
@@ -1,4 +1,4 @@
-"""Measurements of watching groups, of tending them, and of promotion."""
+"""Measurements of watching groups, of finding the served ones, and of promotion."""
 
 from bronzerelay import dialect
 from bronzerelay.failover import Promoter
@@ -24,7 +24,7 @@
 
 
 def build_groups(runtime: Runtime) -> Groups:
-    """Return the groups of a daemon that is alone, and so serves all of them."""
+    """Return the groups of a daemon that is the only one, and so serves all of them."""
     membership = Membership(runtime, MembershipSettings(OWN_NAME))
     settings = GroupSettings(OWN_NAME, 100, STATUS_WAIT_MS, 1000)
     metrics = Metrics(runtime)
@@ -33,16 +33,16 @@
 
 
 def build_configuration(count: int, addresses: list[Address]) -> Configuration:
-    """Return a configuration of `count` groups on the same few instances."""
+    """Return a configuration of `count` groups on the same instances."""
     names = [f"group-{number:05}" for number in range(count)]
     specs = {name: build_group_spec(name, addresses) for name in names}
     return Configuration(1, "", specs, {})
 
 
 def measure_watching(size: int, addresses: list[Address]) -> dict[str, float]:
-    """Return what a daemon that watches `size` groups spends, with no callers.
+    """Return the cost of watching `size` groups without callers.
 
-    The groups stand on three instances in processes of their own.
+    The groups share three instances, each a process of its own.
     """
     runtime = CountedRuntime(TASKS)
     before_kb = resident_kb()
@@ -55,35 +55,38 @@
     messages = runtime.counts["messages"]
     runtime.sleep_ms(WATCH_MS)
     watched_s = WATCH_MS / 1000
-    found = {
+    figures = {
         "cpu_ms_per_s": (own_cpu_ms() - started_ms) / watched_s,
         "bytes_per_s": (runtime.total_bytes() - before) / watched_s,
         "messages_per_s": (runtime.counts["messages"] - messages) / watched_s,
         "memory_kb": memory_kb,
     }
     runtime.close(SETTLE_MS)
-    return found
+    return figures
 
 
 def measure_tending(size: int) -> dict[str, float]:
-    """Return the time to go once over `size` groups of which none is served here."""
+    """Return the time to check once for `size` groups whether this daemon serves them.
+
+    None of them is served here.
+    """
     runtime = Runtime(task_limit=4, seed=1)
     groups = build_groups(runtime)
     names = [f"group-{number:05}" for number in range(size)]
 
-    def go_over() -> None:
+    def rank_all() -> None:
         for name in names:
             groups.rank_daemons(name)
 
-    go_over()
-    return {"us": cpu_us_per_call(go_over)}
+    rank_all()
+    return {"us": cpu_us_per_call(rank_all)}
 
 
 def measure_promotion(size: int) -> dict[str, float]:
-    """Return how long fencing and promoting a group of `size` instances takes.
+    """Return the time to fence a group of `size` instances and promote one of them.
 
-    A connection takes 10 ms, as on a database. The instances run in this process,
-    so that the processor time is that of daemon and instances together.
+    Opening a connection takes 10 ms, as with a real database. The instances run in
+    this process, so the processor time includes theirs.
     """
     runtime = Runtime(task_limit=TASKS, seed=1)
     servers = []
@@ -99,20 +102,20 @@
     addresses = [server.address for server in servers]
     spec = build_group_spec("orders", addresses)
 
-    def open_monitor(endpoint: EndpointSpec, kind: str, timeout_ms: float):
+    def open_connection(endpoint: EndpointSpec, kind: str, timeout_ms: float):
         return dialect.open_link(runtime, endpoint, OWN_NAME, kind, timeout_ms)
 
-    promoter = Promoter(runtime, open_monitor)
-    began_ms, started_ms = runtime.clock.now_ms(), own_cpu_ms()
+    promoter = Promoter(runtime, open_connection)
+    started_ms, started_cpu_ms = runtime.clock.now_ms(), own_cpu_ms()
     for term in range(2, PROMOTIONS + 2):
         outcome = promoter.promote(spec, term, list(spec.endpoints))
         if not outcome.primary:
-            raise ValueError(f"no promotion: {outcome.reason}")
-    found = {
-        "ms": (runtime.clock.now_ms() - began_ms) / PROMOTIONS,
-        "cpu_ms": (own_cpu_ms() - started_ms) / PROMOTIONS,
+            raise ValueError(f"the promotion failed: {outcome.reason}")
+    figures = {
+        "ms": (runtime.clock.now_ms() - started_ms) / PROMOTIONS,
+        "cpu_ms": (own_cpu_ms() - started_cpu_ms) / PROMOTIONS,
     }
     for server in servers:
         server.stop()
     runtime.close(SETTLE_MS)
-    return found
+    return figures
