--- a/lab/accountant.py
+++ b/lab/accountant.py
@@ -1,4 +1,4 @@
-"""A single accountant for each workspace: the other way that was weighed for rates."""
+"""Rates enforced by a single accountant per workspace, an alternative to loans."""
 
 from collections.abc import Callable
 
@@ -14,16 +14,16 @@
 
 
 def find_accountant(spec: WorkspaceSpec, alive: list[str]) -> str:
-    """Return the daemon that keeps the account of a workspace."""
+    """Return the daemon that is the accountant of a workspace."""
     return rank(f"accountant/{spec.name}", alive)[0]
 
 
 class Accountant:
-    """All tokens of a workspace at one daemon; each request asks it for one.
+    """The token bucket of a workspace at one daemon, which every request calls.
 
-    Its bucket starts empty at every change of hands, since the one before may have
-    given all of it out. `find_alive` names the daemons that could be it, and `call`
-    takes the time of a call there and back, or returns False where none answers.
+    The bucket starts empty whenever another daemon becomes the accountant, because the
+    former one may have given out all of its tokens. `find_alive` names the daemons that
+    can be the accountant. `call` simulates a call, and returns False if nothing answers.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         self._bucket = Bucket(now_ms())
 
     def spend(self, daemon: str) -> Result[None, Refusal]:
-        """Spend a token for a request at `daemon`, or say when to come back."""
+        """Spend a token for a request at `daemon`, or refuse with a time to retry after."""
         holder = find_accountant(self._spec, self._find_alive())
         if holder != self._holder:
-            self._take_over(holder)
+            self._change_holder(holder)
         if holder != daemon and not self._call(daemon, holder):
             message = f"{holder} keeps the account and doesn't answer."
             return refuse(Code.PEER_UNREACHABLE, message, RETRY_MS)
@@ -52,10 +52,10 @@
             return Ok(None)
         return refuse(Code.RATE_EXCEEDED, "The rate is used up.", RETRY_MS)
 
-    def _take_over(self, holder: str) -> None:
+    def _change_holder(self, holder: str) -> None:
         now_ms = self._now_ms()
         self._holder = holder
         self._bucket = Bucket(now_ms)
-        holding = Share(self._spec.rate, self._spec.burst)
-        self._bucket.set_share(holding, now_ms)
+        share = Share(self._spec.rate, self._spec.burst)
+        self._bucket.set_share(share, now_ms)
         self._bucket.start_empty(now_ms, now_ms)
--- a/lab/bench.py
+++ b/lab/bench.py
@@ -1,4 +1,4 @@
-"""Measures both deployments under the fair policy and under the naive baseline."""
+"""Benchmarks both deployments under the fair policy and the naive baseline."""
 
 import datetime
 import json
@@ -17,11 +17,11 @@
 from lab.figures import (
     Service,
     count_wrongful,
-    judge_services,
     list_services,
     measure_gaps,
     measure_rush,
     measure_steady,
+    measure_worst_served,
     round_figures,
 )
 from lab.pages import RESULT, print_tables, write_pages
@@ -36,25 +36,25 @@
 DEPLOYMENTS = {"vianda": VIANDA, "returns": RETURNS}
 POLICIES = ("fair", "naive")
 ROOT = Path(__file__).resolve().parent.parent
-TASKS = 1200
-END_MS = 5000
+TASK_LIMIT = 1200
+CLOSE_MS = 5000
 
 VM_LAG_MS = 200
 LONG_LAG_MS = 50
 SHORT_LAG_MS = 5
 WRITE_SHARE = 0.1
-# A little below the rate, so that chance alone takes hardly any request beyond it.
+# Slightly below the rate, so that random arrivals hardly ever exceed it.
 INSIDE = 0.9
 NOISY_FACTOR = 5
-# A rush sends this many times all rates together, under rates that allow it.
+# In a rush, rates and load are this many times as high.
 RUSH_FACTOR = 3
-# Buckets begin empty and are full a second after the first loans have lapsed.
+# Buckets start empty and are full a second after the first loans have lapsed.
 FILL_MS = 2500
 STEADY_MS = 5000
 ROAMING_MS = 6000
 NOISY_MS = 6000
 RUSH_MS = 4000
-# Failures at the same time, one in each group; the next ones begin a little later.
+# Each batch causes one failure in each group, this long after the one before.
 STAGGER_MS = 300
 BATCHES = (
     ("primary frozen", "primary frozen", "primary frozen"),
@@ -84,8 +84,8 @@
 def list_limits(layout: Layout, factor: float, from_ms: float) -> list[RateLimit]:
     """Return the rates of all workspaces, times `factor`, from a time on."""
     return [
-        RateLimit(one.name, one.rate * factor, one.burst * factor, from_ms)
-        for one in layout.workspaces
+        RateLimit(spec.name, spec.rate * factor, spec.burst * factor, from_ms)
+        for spec in layout.workspaces
     ]
 
 
@@ -93,17 +93,17 @@
     bench: Bench, duration_ms: int, factor: float, **changes: Any
 ) -> list[Entry]:
     """Return the record of a load of all workspaces at `factor` times their rates."""
-    rates = {one.name: one.rate * factor for one in bench.layout.workspaces}
+    rates = {spec.name: spec.rate * factor for spec in bench.layout.workspaces}
     return run_loads(bench, duration_ms, [rates], **changes)
 
 
 def run_flood(bench: Bench, noisy: str) -> list[Entry]:
     """Return the record of a load in which one workspace sends far above its rate.
 
-    It gets a load of its own: its many waiting requests would take up the workers of
-    the others, whose requests would then go out late.
+    It gets its own load: otherwise its many waiting requests would occupy the workers
+    that send the others' requests, which would then go out late.
     """
-    rates = {one.name: one.rate * INSIDE for one in bench.layout.workspaces}
+    rates = {spec.name: spec.rate * INSIDE for spec in bench.layout.workspaces}
     flood = {noisy: rates.pop(noisy) / INSIDE * NOISY_FACTOR}
     return run_loads(bench, NOISY_MS, [rates, flood])
 
@@ -111,7 +111,7 @@
 def run_loads(
     bench: Bench, duration_ms: int, all_rates: list[dict[str, float]], **changes: Any
 ) -> list[Entry]:
-    """Return the record of loads that run together, one for each dict of rates."""
+    """Return the record of loads that run concurrently, one for each dict of rates."""
     loads = [make_load(bench, duration_ms, rates, **changes) for rates in all_rates]
     for load in loads:
         load.start()
@@ -144,7 +144,7 @@
 
 
 def raise_rates(bench: Bench, factor: float) -> None:
-    """Put rates in force that are `factor` times the layout's, and wait for them."""
+    """Multiply all rates by `factor`, and wait until the new rates are in force."""
     cluster = bench.cluster
     bundle = cluster.build_bundle()
     for workspace in bundle["workspaces"]:
@@ -157,7 +157,7 @@
 
 
 def cause_failures(bench: Bench) -> list[Gap]:
-    """Cause all failures, those of a batch nearly together, and return the gaps."""
+    """Cause all failures, batch by batch, and return the gaps."""
     cluster = bench.cluster
     gaps = []
     for batch in BATCHES:
@@ -180,19 +180,19 @@
 def measure_deployment(layout: Layout, policy: str, seed: int) -> dict[str, Any]:
     """Return all figures of a deployment under a policy."""
     layout = layout._replace(vm_lag_ms=VM_LAG_MS, lag_ms=LONG_LAG_MS)
-    runtime = Runtime(TASKS, seed=seed)
+    runtime = Runtime(TASK_LIMIT, seed=seed)
     with Cluster(runtime, layout, ["--policy", policy]) as cluster:
         cluster.wait_ready(cluster.put_bundle())
         runtime.sleep_ms(FILL_MS)
         limits = list_limits(layout, 1, float("-inf"))
         bench = Bench(cluster, layout, seed, [], limits)
         result = run_phases(bench)
-    runtime.close(END_MS)
+    runtime.close(CLOSE_MS)
     return result
 
 
 def run_phases(bench: Bench) -> dict[str, Any]:
-    """Run one load after the other, then the failures, then the checks."""
+    """Run the loads one after the other, then the failures, then the checks."""
     limits = list(bench.limits)
     noisy = bench.layout.workspaces[0].name
     steady = run_load(bench, STEADY_MS, INSIDE)
@@ -211,7 +211,7 @@
         **measure_steady(steady),
         **measure_gaps([gap.gap_ms for gap in gaps]),
         "broken_promises": len(violations),
-        **judge_services(services),
+        **measure_worst_served(services),
         "wrongful": count_wrongful(flood, limits, left_out=noisy),
         "roaming": count_wrongful(roaming, limits),
         **measure_rush(rush),
@@ -219,14 +219,14 @@
     return {
         "figures": round_figures(figures),
         "gaps": [gap._asdict() | {"gap_ms": round(gap.gap_ms)} for gap in gaps],
-        "services": [show_service(service) for service in services],
+        "services": [describe_service(service) for service in services],
         "violations": count_kinds(violations),
         "requests": len(bench.record),
     }
 
 
-def show_service(service: Service) -> dict[str, Any]:
-    """Return a workspace's line as it goes into the JSON."""
+def describe_service(service: Service) -> dict[str, Any]:
+    """Return what a workspace got, as it is written to the JSON."""
     return service._asdict() | {"share": round(service.share, 4)}
 
 
@@ -253,20 +253,22 @@
 
 
 def find_commit() -> str:
-    """Return the commit, with a plus sign where files differ from it."""
+    """Return the commit, with a plus sign if the working tree differs from it."""
     command = ["git", "describe", "--always", "--dirty=+", "--abbrev=10", "--exclude=*"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
-    return done.stdout.strip() or "unknown"
+    result = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+    return result.stdout.strip() or "unknown"
 
 
 @click.command()
 @click.option("--deployment", "names", multiple=True, type=click.Choice(DEPLOYMENTS))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--output", type=click.Path(path_type=Path), default=RESULT)
-@click.option("--pages/--no-pages", default=True, help="Write plots and the page too.")
+@click.option(
+    "--pages/--no-pages", default=True, help="Also write the plots and the page."
+)
 def main(names: tuple[str, ...], seed: int, output: Path, pages: bool) -> None:
     """Run the benchmark and print one table for each deployment."""
-    # With the default interval a request of the load goes out up to 70 ms late.
+    # With the default interval, requests of the load go out up to 70 ms late.
     sys.setswitchinterval(ADVISED_SWITCH_INTERVAL_S)
     run = describe_run(seed)
     run["deployments"] = {}
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a front under measurement: idle connections, or busy ones."""
+"""Callers of a front under measurement, with idle or with busy connections."""
 
 import sys
 
@@ -13,7 +13,7 @@
 
 
 def open_links(runtime: Runtime, address: Address, count: int) -> list[HttpLink]:
-    """Return connections that have each run one statement."""
+    """Open connections, and run one statement on each."""
     request = build_request("POST", PATH, HEADERS, BODY)
     links = []
     for _ in range(count):
@@ -24,7 +24,7 @@
 
 
 def keep_busy(runtime: Runtime, link: HttpLink, end_ms: float) -> int:
-    """Run statements until `end_ms`; return how many."""
+    """Run statements until `end_ms`; return how many have run."""
     request = build_request("POST", PATH, HEADERS, BODY)
     count = 0
     while runtime.clock.now_ms() < end_ms:
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Connect, say `ready`, then do as the lines on standard input say."""
+    """Connect, print `ready`, then run statements if told so on standard input."""
     address = parse_address(sys.argv[1])
     idle, active = int(sys.argv[2]), int(sys.argv[3])
     runtime = Runtime(task_limit=active + 1)
--- a/lab/compare.py
+++ b/lab/compare.py
@@ -1,4 +1,4 @@
-"""Compares two runs of the benchmark, and fails where the later one is worse."""
+"""Compares two runs of the benchmark, and fails if the later one is worse."""
 
 import sys
 from pathlib import Path
@@ -21,7 +21,7 @@
 FAILING = (WORSE, MISSING)
 
 
-class Line(NamedTuple):
+class Comparison(NamedTuple):
     """One measure of one deployment in both runs, and the verdict."""
 
     deployment: str
@@ -31,62 +31,63 @@
     verdict: str
 
 
-def judge(
+def compare_figure(
     measure: Measure, old: float | None, new: float | None, ratio: float
 ) -> str | None:
-    """Return the verdict on a figure, or None where neither run has it.
+    """Return the verdict on a figure, or None if neither run has it.
 
-    A difference within the measure's floor is none, whatever its ratio. Of a share,
-    what is missing to the whole is compared: from 99% to 90% the callers that got
-    nothing are ten times as many.
+    Differences up to the measure's floor are ignored, whatever their ratio. For a
+    share, its complement is compared: from 99% to 90%, ten times as many callers got
+    nothing.
     """
     if new is None:
         return None if old is None else MISSING
     if old is None:
         return SAME
+    # Ordered so that an increase from `before` to `after` is for the worse.
     if measure.unit == "share":
-        low, high = 1 - old, 1 - new
+        before, after = 1 - old, 1 - new
     elif measure.better == LOWER:
-        low, high = old, new
+        before, after = old, new
     else:
-        low, high = new, old
-    if abs(high - low) <= measure.floor:
+        before, after = new, old
+    if abs(after - before) <= measure.floor:
         return SAME
-    if high > low * ratio:
+    if after > before * ratio:
         return WORSE
-    return BETTER if low > high * ratio else SAME
+    return BETTER if before > after * ratio else SAME
 
 
-def compare_runs(old: Any, new: Any, ratio: float) -> list[Line]:
-    """Return a line for each measure of each deployment that either run has."""
-    lines = []
+def compare_runs(old: Any, new: Any, ratio: float) -> list[Comparison]:
+    """Compare each measure of each deployment that either run has."""
+    comparisons = []
     names = dict.fromkeys([*old["deployments"], *new["deployments"]])
     for deployment in names:
         before = read_figures(old, deployment)
         after = read_figures(new, deployment)
         for measure in MEASURES:
             figures = before.get(measure.name), after.get(measure.name)
-            verdict = judge(measure, *figures, ratio)
+            verdict = compare_figure(measure, *figures, ratio)
             if verdict is not None:
-                lines.append(Line(deployment, measure, *figures, verdict))
-    return lines
+                comparisons.append(Comparison(deployment, measure, *figures, verdict))
+    return comparisons
 
 
 def read_figures(run: Any, deployment: str) -> dict[str, float]:
-    """Return a deployment's figures; none where the run left it out."""
+    """Return a deployment's figures, which are empty if the run left it out."""
     results = run["deployments"].get(deployment, {})
     return results.get(POLICY, {}).get("figures", {})
 
 
-def print_lines(lines: list[Line]) -> None:
-    """Print the lines as a table."""
+def print_table(comparisons: list[Comparison]) -> None:
+    """Print the comparisons as a table."""
     table = Table()
     for title in ("deployment", "measure", "old", "new", "verdict"):
         table.add_column(title, justify="right" if title in ("old", "new") else "left")
-    for line in lines:
-        old = format_figure(line.measure, line.old)
-        new = format_figure(line.measure, line.new)
-        table.add_row(line.deployment, line.measure.title, old, new, line.verdict)
+    for one in comparisons:
+        old = format_figure(one.measure, one.old)
+        new = format_figure(one.measure, one.new)
+        table.add_row(one.deployment, one.measure.title, old, new, one.verdict)
     Console(width=WIDTH).print(table)
 
 
@@ -101,13 +102,15 @@
     help="How many times worse a figure may be.",
 )
 def main(old: Path, new: Path, ratio: float) -> None:
-    """Compare the runs OLD and NEW; end with 1 where NEW is worse past the ratio."""
+    """Compare the runs OLD and NEW; exit with 1 if NEW is worse by over the ratio."""
     runs = [msgspec.json.decode(path.read_bytes()) for path in (old, new)]
-    lines = compare_runs(*runs, ratio)
-    print_lines(lines)
-    failing = [line for line in lines if line.verdict in FAILING]
-    click.echo(f"{len(failing)} of {len(lines)} figures are worse past {ratio:g} times")
-    sys.exit(1 if failing or not lines else 0)
+    comparisons = compare_runs(*runs, ratio)
+    print_table(comparisons)
+    failing = [one for one in comparisons if one.verdict in FAILING]
+    click.echo(
+        f"{len(failing)} of {len(comparisons)} figures are worse past {ratio:g} times"
+    )
+    sys.exit(1 if failing or not comparisons else 0)
 
 
 if __name__ == "__main__":
--- a/lab/deployments.py
+++ b/lab/deployments.py
@@ -1,4 +1,4 @@
-"""Measurements on whole deployments of real daemons, as processes."""
+"""Measurements on whole deployments, whose daemons are real processes."""
 
 from typing import NamedTuple
 
@@ -24,15 +24,15 @@
 PUT: Statement = {"verb": "put", "row": "row-1", "value": "no nuts"}
 
 
-class Spent(NamedTuple):
-    """Processor time of some statements: at the daemon asked, and at the serving."""
+class StatementCost(NamedTuple):
+    """Processor time of statements at the daemon called, and at the serving daemon."""
 
     edge_ms: float
     serving_ms: float
 
 
 def build_layout(daemons: int) -> Layout:
-    """Return a deployment of one group, whose instances are quick."""
+    """Return a deployment of one group with fast instances."""
     return Layout(
         groups=(GROUP,),
         workspaces=(WORKSPACE,),
@@ -46,14 +46,14 @@
 
 
 def wait_until_in_force(cluster: Cluster, version: int) -> float:
-    """Wait until all daemons are ready with `version`; return the milliseconds."""
+    """Wait until all daemons have `version` in force; return how long that took."""
     clock = cluster.runtime.clock
     began_ms = clock.now_ms()
-    waiting = list(cluster.daemon_names)
-    while waiting:
+    pending = list(cluster.daemon_names)
+    while pending:
         if clock.now_ms() - began_ms > READY_MS:
-            raise TimeoutError(f"{waiting} didn't get version {version}")
-        waiting = [name for name in waiting if not cluster.is_ready(name, version)]
+            raise TimeoutError(f"{pending} don't have version {version} in force")
+        pending = [name for name in pending if not cluster.is_ready(name, version)]
         clock.sleep_ms(POLL_MS)
     return clock.now_ms() - began_ms
 
@@ -64,7 +64,7 @@
 
 
 def measure_idle_ms(cluster: Cluster, names: list[str]) -> dict[str, float]:
-    """Return the processor time of idle daemons, in milliseconds a second."""
+    """Return the processor time of idle daemons, in milliseconds per second."""
     before = {name: read_cpu_ms(cluster, name) for name in names}
     cluster.runtime.clock.sleep_ms(IDLE_MS)
     return {
@@ -74,7 +74,7 @@
 
 
 def measure_fleet(size: int) -> dict[str, float]:
-    """Return what `size` daemons spend with no callers, each and at the platform."""
+    """Return the cost of each of `size` daemons without callers, and platform calls."""
     runtime = Runtime(task_limit=64, seed=1)
     with Cluster(runtime, build_layout(size)) as cluster:
         wait_until_in_force(cluster, cluster.put_bundle())
@@ -96,7 +96,7 @@
 
 
 class PathMeter:
-    """Runs statements on a deployment and splits what they cost between daemons."""
+    """Runs statements on a deployment and measures their cost at each daemon."""
 
     def __init__(self, cluster: Cluster):
         self._cluster = cluster
@@ -106,17 +106,17 @@
         addresses = {name: cluster.addresses[name] for name in ranked[:2]}
         self._links = LinkPool(cluster.runtime, addresses)
 
-    def spend(self, daemon: str, statement: Statement, count: int) -> Spent:
-        """Return what `count` statements cost that are sent to `daemon`."""
+    def measure(self, daemon: str, statement: Statement, count: int) -> StatementCost:
+        """Return the cost of `count` statements that are sent to `daemon`."""
         clock = self._cluster.runtime.clock
         names = (self.edge, self.serving)
         before = [read_cpu_ms(self._cluster, name) for name in names]
         began_ms = clock.now_ms()
         self._run(daemon, statement, count)
-        took_s = (clock.now_ms() - began_ms) / 1000
-        return Spent(
+        elapsed_s = (clock.now_ms() - began_ms) / 1000
+        return StatementCost(
             *(
-                read_cpu_ms(self._cluster, name) - start - took_s * self._idle[name]
+                read_cpu_ms(self._cluster, name) - start - elapsed_s * self._idle[name]
                 for name, start in zip(names, before, strict=True)
             )
         )
@@ -138,26 +138,26 @@
 
 
 def measure_paths(sizes: list[int]) -> dict[int, dict[str, float]]:
-    """Return for each number of statements what they cost on each way."""
+    """Return the cost of statements, forwarded or not, for each number of them."""
     runtime = Runtime(task_limit=64, seed=1)
-    found: dict[int, dict[str, float]] = {}
+    figures: dict[int, dict[str, float]] = {}
     with Cluster(runtime, build_layout(3)) as cluster:
         wait_until_in_force(cluster, cluster.put_bundle())
         runtime.clock.sleep_ms(SETTLE_MS)
         meter = PathMeter(cluster)
-        meter.spend(meter.edge, PUT, min(sizes))
+        meter.measure(meter.edge, PUT, min(sizes))
         for size in sizes:
-            here = meter.spend(meter.serving, GET, size)
-            here_write = meter.spend(meter.serving, PUT, size)
-            far = meter.spend(meter.edge, GET, size)
-            far_write = meter.spend(meter.edge, PUT, size)
-            found[size] = {
-                "local_read_ms": here.serving_ms,
-                "local_write_ms": here_write.serving_ms,
-                "forwarding_ms": far.edge_ms,
-                "forwarded_read_ms": far.serving_ms,
-                "forwarding_write_ms": far_write.edge_ms,
-                "forwarded_write_ms": far_write.serving_ms,
+            local_read = meter.measure(meter.serving, GET, size)
+            local_write = meter.measure(meter.serving, PUT, size)
+            forwarded_read = meter.measure(meter.edge, GET, size)
+            forwarded_write = meter.measure(meter.edge, PUT, size)
+            figures[size] = {
+                "local_read_ms": local_read.serving_ms,
+                "local_write_ms": local_write.serving_ms,
+                "forwarding_ms": forwarded_read.edge_ms,
+                "forwarded_read_ms": forwarded_read.serving_ms,
+                "forwarding_write_ms": forwarded_write.edge_ms,
+                "forwarded_write_ms": forwarded_write.serving_ms,
             }
     runtime.close(SETTLE_MS)
-    return found
+    return figures
--- a/lab/figures.py
+++ b/lab/figures.py
@@ -1,4 +1,4 @@
-"""Works out the figures of a benchmark from the records of its loads."""
+"""Computes the figures of a benchmark from the records of its loads."""
 
 import statistics
 from collections.abc import Iterable, Mapping
@@ -11,7 +11,8 @@
 
 LOWER = "lower"
 HIGHER = "higher"
-PER = 10_000
+# Wrongful refusals are counted per this many requests.
+PER_REQUESTS = 10_000
 GAP_MEDIAN_MS = 1000
 GAP_WORST_MS = 3000
 
@@ -19,8 +20,9 @@
 class Measure(NamedTuple):
     """A figure of the table.
 
-    `better` is the direction; `floor` is a difference too small to count; `target`
-    is the bound that is expected. A `share` is a fraction of one.
+    `better` says whether lower or higher figures are better. A difference up to `floor`
+    is too small to count. `target` is the expected bound. The unit `share` stands for a
+    fraction of one.
     """
 
     name: str
@@ -51,15 +53,15 @@
     Measure("rush_p50_ms", "p50 in a rush", "ms", LOWER, 10),
     Measure("rush_p99_ms", "p99 in a rush", "ms", LOWER, 100),
 )
-# What each of our users weighs most comes first in its table.
-WEIGHED = {
+# The measures that matter most to each user come first in its table.
+MOST_IMPORTANT = {
     "vianda": ("worst_served", "gap_median_ms", "gap_worst_ms"),
     "returns": ("wrongful", "roaming", "replica_reads"),
 }
 
 
 class Service(NamedTuple):
-    """What a workspace got: requests inside its rate, and how many were served."""
+    """What a workspace got: the requests inside its rate, and how many were served."""
 
     workspace: str
     due: int
@@ -68,21 +70,21 @@
 
     @property
     def share(self) -> float:
-        """Return the share served of what was due; all of it when nothing was."""
+        """Return the fraction of due requests that was served; 1 if none was due."""
         return self.served / self.due if self.due else 1.0
 
 
 def order_measures(deployment: str) -> list[Measure]:
-    """Return the measures, with those first that the deployment's users weigh most."""
-    weighed = WEIGHED.get(deployment, ())
-    return sorted(MEASURES, key=lambda measure: measure.name not in weighed)
+    """Return the measures, starting with those that matter most to the users."""
+    first = MOST_IMPORTANT.get(deployment, ())
+    return sorted(MEASURES, key=lambda measure: measure.name not in first)
 
 
 def list_services(record: list[Entry], limits: list[RateLimit]) -> list[Service]:
-    """Return what each workspace got of what it was due, in the order of names.
+    """Return what each workspace was due and got, sorted by name.
 
-    Which requests of a workspace above its rate are admitted is up to the system; only
-    their number counts.
+    When a workspace exceeds its rate, the system chooses which of its requests it
+    admits, so only their number counts.
     """
     inside = find_inside(record, limits)
     services = []
@@ -95,37 +97,37 @@
     return services
 
 
-def judge_services(services: list[Service]) -> dict[str, float]:
-    """Return how the worst-served workspace fared against the median one.
+def measure_worst_served(services: list[Service]) -> dict[str, float]:
+    """Return the figures of the worst-served workspace and of the median one.
 
     Of several with the same share, the one with the longest p99 is the worst.
     """
-    worst = min(services, key=lambda one: (one.share, -one.p99_ms))
-    median_share = statistics.median(one.share for one in services)
+    worst = min(services, key=lambda service: (service.share, -service.p99_ms))
+    median_share = statistics.median(service.share for service in services)
     return {
         "worst_served": worst.share / median_share if median_share else 0.0,
         "worst_p99_ms": worst.p99_ms,
-        "median_p99_ms": statistics.median(one.p99_ms for one in services),
+        "median_p99_ms": statistics.median(service.p99_ms for service in services),
     }
 
 
 def count_wrongful(
     record: Iterable[Entry], limits: Iterable[RateLimit], left_out: str = ""
 ) -> float:
-    """Return the wrongful refusals for each 10,000 requests inside the rate.
+    """Return the wrongful refusals per 10,000 requests inside the rate.
 
-    A workspace that is far above its rate is left out: which of its requests are
-    admitted is up to the system, so that one refused for another is none.
+    A workspace that is far above its rate can be left out: the system chooses which of
+    its requests it admits, so none of its refusals is wrongful.
     """
     limits = list(limits)
     entries = [entry for entry in record if entry.workspace != left_out]
     inside = len(find_inside(entries, limits))
     wrongful = len(find_wrongful_refusals(entries, limits))
-    return PER * wrongful / inside if inside else 0.0
+    return PER_REQUESTS * wrongful / inside if inside else 0.0
 
 
 def count_throughput(record: list[Entry]) -> float:
-    """Return the statements that ran for each second of the run."""
+    """Return the statements that ran per second of the load."""
     ran_ms = [entry.answered_ms for entry in record if entry.ran == RAN]
     first_ms = min((entry.due_ms for entry in record), default=0.0)
     if not ran_ms or max(ran_ms) <= first_ms:
@@ -144,7 +146,7 @@
 
 
 def measure_rush(record: list[Entry]) -> dict[str, float]:
-    """Return the figures of a load above what the groups can take."""
+    """Return the figures of a load above the capacity of the groups."""
     summary = summarise(record)
     return {
         "rush_per_s": count_throughput(record),
@@ -159,7 +161,7 @@
 
 
 def round_figures(figures: Mapping[str, float]) -> dict[str, float]:
-    """Return the figures in the order of the measures, with three digits."""
+    """Return the figures in the order of the measures, with three decimals."""
     return {
         measure.name: round(figures[measure.name], 3)
         for measure in MEASURES
--- a/lab/layouts.py
+++ b/lab/layouts.py
@@ -1,4 +1,4 @@
-"""Bundles, groups and workspaces of any number, as the measurements need them."""
+"""Builds configurations of any number of groups and workspaces for measurements."""
 
 from bronzerelay.bundle import digest_bundle
 from bronzerelay.keys import hash_key
@@ -12,7 +12,7 @@
 )
 
 INSTANCES = 3
-# Both users have 8 workspaces before 3 groups today.
+# Both users have 8 workspaces for every 3 groups today.
 WORKSPACES_TODAY = 8
 GROUPS_TODAY = 3
 SLOTS = 3
@@ -58,7 +58,7 @@
 
 
 def build_record(groups: int) -> ConfigRecord:
-    """Return the record of such a bundle."""
+    """Return the configuration record of a bundle of `groups` groups."""
     bundle = build_bundle(groups)
     return {
         "version": 1,
@@ -79,7 +79,7 @@
 
 
 def build_workspace_specs(count: int) -> list[WorkspaceSpec]:
-    """Return `count` workspaces with a part at each of up to 16 holders."""
+    """Return `count` workspaces with the same rate and burst."""
     return [
         WorkspaceSpec(f"workspace-{number:05}", RATE, BURST, frozenset(), {})
         for number in range(count)
--- a/lab/measure.py
+++ b/lab/measure.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and fitted lines."""
+"""Measures processor time and memory, and fits lines through the results."""
 
 import os
 import resource
@@ -11,7 +11,7 @@
 
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") / 1024
 TICK_MS = 1000 / os.sysconf("SC_CLK_TCK")
-# Fields of /proc/PID/stat behind the name of the program, which may hold spaces.
+# Indexes in /proc/PID/stat, counted after the program's name, which may hold spaces.
 USER_FIELD = 11
 SYSTEM_FIELD = 12
 
@@ -24,13 +24,15 @@
 
 
 def fit_line(points: list[tuple[float, float]]) -> Line:
-    """Return the line of least squares through (size, value) pairs."""
+    """Return the least-squares line through (size, value) pairs."""
     count = len(points)
     mean_size = sum(size for size, _ in points) / count
     mean_value = sum(value for _, value in points) / count
-    spread = sum((size - mean_size) ** 2 for size, _ in points)
-    common = sum((size - mean_size) * (value - mean_value) for size, value in points)
-    slope = common / spread
+    variance = sum((size - mean_size) ** 2 for size, _ in points)
+    covariance = sum(
+        (size - mean_size) * (value - mean_value) for size, value in points
+    )
+    slope = covariance / variance
     return Line(slope, mean_value - slope * mean_size)
 
 
@@ -41,7 +43,7 @@
 
 
 def process_cpu_ms(pid: int) -> float:
-    """Return the processor time of a process so far, to a tick of about 10 ms."""
+    """Return the processor time of a process so far, in ticks of about 10 ms."""
     text = Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     return (int(fields[USER_FIELD]) + int(fields[SYSTEM_FIELD])) * TICK_MS
@@ -56,7 +58,7 @@
 def cpu_us_per_call(function: Callable[[], object], least_ms: float = 150) -> float:
     """Return the processor time of one call, in microseconds.
 
-    It is called until `least_ms` of processor time are spent.
+    The function is called until it has used `least_ms` of processor time.
     """
     calls = 0
     started_ms = own_cpu_ms()
@@ -69,10 +71,10 @@
 
 
 def held_kb(build: Callable[[], object]) -> float:
-    """Return the memory of what `build` returns and keeps, in KiB.
+    """Return the memory that the objects built by `build` hold, in KiB.
 
-    It is counted object by object: freed pages that are used again hide a part of
-    the growth of the resident memory.
+    Allocations are traced: the growth of the resident memory is less when pages that
+    were freed before are reused.
     """
     tracemalloc.start()
     built = build()
@@ -83,7 +85,7 @@
 
 
 class CountedConnection(Connection):
-    """A connection that counts what passes."""
+    """A connection that counts its messages and bytes."""
 
     counts: dict[str, int]
 
@@ -101,7 +103,7 @@
 
 
 class CountedRuntime(Runtime):
-    """A runtime that counts messages and bytes of the connections it dials."""
+    """A runtime that counts messages and bytes of the connections it opens."""
 
     def __init__(self, task_limit: int):
         super().__init__(task_limit, seed=1)
@@ -109,11 +111,11 @@
 
     def dial(self, address: Address, timeout_ms: float, **options) -> Connection:
         """Return a counted connection."""
-        plain = super().dial(address, timeout_ms, **options)
-        plain.__class__ = CountedConnection
-        plain.counts = self.counts
-        return plain
+        connection = super().dial(address, timeout_ms, **options)
+        connection.__class__ = CountedConnection
+        connection.counts = self.counts
+        return connection
 
     def total_bytes(self) -> int:
-        """Return all bytes sent and received so far, without headers of TCP."""
+        """Return all bytes sent and received so far, without TCP headers."""
         return self.counts["sent_bytes"] + self.counts["received_bytes"]
--- a/lab/primary_daemon.py
+++ b/lab/primary_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon that sends every read to the primary: the baseline of lab.reads."""
+"""A daemon that sends every read to the primary, as the baseline for lab.reads."""
 
 from expression import Result
 
@@ -10,8 +10,8 @@
 
 
 def choose_primary(reader: Reader, work: Work, need: Position) -> Result[str, Refusal]:
-    """Return the primary, with one of its slots taken."""
-    return reader._instances.acquire_primary(work).map(lambda found: found[0])
+    """Acquire a slot of the primary, and return the primary's name."""
+    return reader._instances.acquire_primary(work).map(lambda slot: slot[0])
 
 
 if __name__ == "__main__":
--- a/lab/reads.py
+++ b/lab/reads.py
@@ -1,4 +1,4 @@
-"""Measures the share of reads on replicas, against a daemon that uses primaries only."""
+"""Measures the share of reads on replicas, against a daemon that uses none."""
 
 import json
 import statistics
--- a/lab/records.py
+++ b/lab/records.py
@@ -1,4 +1,4 @@
-"""Measurements of the configuration and of the workspaces' accounts."""
+"""Measurements of the configuration, and of the accounts of workspaces."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 def accept_record(data: bytes) -> ConfigurationStore:
-    """Return a store that has put the record in `data` in force."""
+    """Return a store that has accepted the record in `data`."""
     store = ConfigurationStore(Runtime(task_limit=1, seed=1))
     if not store.accept(msgspec.json.decode(data)):
         raise ValueError("the record was not accepted")
@@ -24,7 +24,7 @@
 
 
 def measure_bundle(size: int) -> dict[str, float]:
-    """Return what a version of `size` groups costs a daemon that takes it over."""
+    """Return what a configuration of `size` groups costs a daemon that accepts it."""
     data = msgspec.json.encode(build_record(size))
     bundle = msgspec.json.decode(data)["bundle"]
     return {
@@ -56,7 +56,7 @@
 
 
 def measure_splits(size: int) -> dict[str, float]:
-    """Return the time to split one account's rate over a roster of `size`."""
+    """Return the time to split the rate of one account among `size` members."""
     runtime = Runtime(task_limit=1, seed=1)
     shares = Shares(runtime, OWN_NAME, lambda *_: None, make_policy(DEFAULT))
     shares.set_workspaces(build_workspace_specs(SPLIT_ACCOUNTS))
--- a/lab/worker.py
+++ b/lab/worker.py
@@ -1,4 +1,4 @@
-"""Measures one role at one size, in a process of its own, and prints JSON."""
+"""Measures one role at one size in a process of its own, and prints JSON."""
 
 import inspect
 import os
@@ -30,14 +30,14 @@
 
 
 def main() -> None:
-    """Print what the role named first costs at the size named second."""
+    """Print the figures of the role given first at the size given second."""
     measure = MEASUREMENTS[sys.argv[1]]
     size = int(sys.argv[2])
     addresses = [parse_address(text) for text in sys.argv[3:]]
     takes_addresses = "addresses" in inspect.signature(measure).parameters
-    found = measure(size, addresses) if takes_addresses else measure(size)
-    print(msgspec.json.encode(found).decode(), flush=True)
-    # A task of a stand-in that still waits would hold up the end.
+    figures = measure(size, addresses) if takes_addresses else measure(size)
+    print(msgspec.json.encode(figures).decode(), flush=True)
+    # A task of a stand-in that is still waiting would keep the process from exiting.
     os._exit(0)
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,7 +1,7 @@
 """Tests of how the figures of a benchmark are worked out."""
 
 from bronzerelay.codes import Code
-from lab.figures import count_wrongful, judge_services, list_services
+from lab.figures import count_wrongful, list_services, measure_worst_served
 from lab.pages import is_missed, list_rows, order_measures
 from standins.rates import RateLimit
 from tests.record_builders import build_entry, build_refusal
@@ -25,7 +25,7 @@
         ("big", 2, 2),
         ("small", 2, 1),
     ]
-    assert judge_services(services)["worst_served"] == 0.5 / 0.75
+    assert measure_worst_served(services)["worst_served"] == 0.5 / 0.75
 
 
 def test_a_refusal_inside_the_rate_is_wrongful():
