--- a/lab/accountant.py
+++ b/lab/accountant.py
@@ -23,7 +23,8 @@
 
     The bucket starts empty whenever another daemon becomes the accountant, because the
     former one may have given out all of its tokens. `find_alive` names the daemons that
-    can be the accountant. `call` simulates a call, and returns False if nothing answers.
+    can be the accountant. `call` simulates a call to the accountant, and returns False
+    if it doesn't answer.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._bucket = Bucket(now_ms())
 
     def spend(self, daemon: str) -> Result[None, Refusal]:
-        """Spend a token for a request at `daemon`, or refuse with a time to retry after."""
+        """Spend a token for a request at `daemon`, or refuse the request."""
         holder = find_accountant(self._spec, self._find_alive())
         if holder != self._holder:
             self._change_holder(holder)
--- a/lab/control_estimates.py
+++ b/lab/control_estimates.py
@@ -1,8 +1,8 @@
-"""What control takes in all, with the mechanisms that the page names."""
+"""Estimates the total cost of control, with the mechanisms that the page proposes."""
 
 from lab import estimates, group_estimates, letter, spread_estimates
-from lab.arithmetic import Figure, Slopes, add, pick
-from lab.estimates import BYTES, CPU, LONG_POLL_MS, STATUS_WAIT_MS, Role
+from lab.arithmetic import Figure, Slopes, add, find_figure
+from lab.estimates import BYTES, CPU, LONG_POLL_MS, STATUS_WAIT_MS, RoleFigures
 
 BYTES_PARTS = (
     ("bytes with polls of 5 s", "polls"),
@@ -27,31 +27,31 @@
 )
 
 
-def work_out_control(slopes: Slopes) -> Role:
-    """Return the sums over all roles, without what isn't measured."""
+def estimate_control(slopes: Slopes) -> RoleFigures:
+    """Return the sums over all roles, as far as they are measured."""
     figures: list[Figure] = [
-        *group_estimates.work_out_watching(slopes),
-        *group_estimates.work_out_shares(slopes),
-        *spread_estimates.work_out_configuration(slopes),
-        *spread_estimates.work_out_membership(slopes),
-        *spread_estimates.work_out_roster(slopes),
-        *estimates.work_out_base(slopes),
+        *group_estimates.estimate_watching(slopes),
+        *group_estimates.estimate_shares(slopes),
+        *spread_estimates.estimate_configuration(slopes),
+        *spread_estimates.estimate_membership(slopes),
+        *spread_estimates.estimate_roster(slopes),
+        *estimates.estimate_base(slopes),
     ]
 
-    def take(parts: tuple[tuple[str, str], ...]) -> list[tuple[float, str]]:
-        return [(pick(figures, what).value, label) for what, label in parts]
+    def list_terms(parts: tuple[tuple[str, str], ...]) -> list[tuple[float, str]]:
+        return [(find_figure(figures, what).value, label) for what, label in parts]
 
-    polls = pick(figures, "processor").value * STATUS_WAIT_MS / LONG_POLL_MS
-    watch = pick(group_estimates.work_out_watching(slopes), "memory").value
-    cpu = [(polls, "polls"), *take(CPU_PARTS)]
+    polls = find_figure(figures, "processor").value * STATUS_WAIT_MS / LONG_POLL_MS
+    watch = find_figure(group_estimates.estimate_watching(slopes), "memory").value
+    cpu = [(polls, "polls"), *list_terms(CPU_PARTS)]
     return [
-        add("bytes", BYTES, letter.CONTROL_BYTES, *take(BYTES_PARTS)),
+        add("bytes", BYTES, letter.CONTROL_BYTES, *list_terms(BYTES_PARTS)),
         add("processor", CPU, letter.CONTROL_CPU_MS, *cpu),
         add(
             "memory, without the configuration",
             "MiB",
             letter.CONTROL_MEMORY_MB,
             (watch, "watches"),
-            *take(MEMORY_PARTS),
+            *list_terms(MEMORY_PARTS),
         ),
     ]
--- a/lab/data_estimates.py
+++ b/lab/data_estimates.py
@@ -1,4 +1,4 @@
-"""What callers' connections and statements take at the letter's size."""
+"""Estimates the cost of callers' connections and statements at the required scale."""
 
 from lab import letter
 from lab.arithmetic import Slopes, add, divide, multiply
@@ -7,11 +7,11 @@
     KB_PER_MB,
     MS_PER_S,
     PROCESS_LOAD,
-    Role,
+    RoleFigures,
 )
 
 
-def work_out_connections(slopes: Slopes) -> Role:
+def estimate_connections(slopes: Slopes) -> RoleFigures:
     """Return the cost of a daemon's connections."""
     count = (letter.CONNECTIONS / letter.DAEMONS, "connections")
     memory = slopes.slope("idle.memory_kb")
@@ -29,20 +29,20 @@
             "opening 9,700 after a restart",
             "s of a core",
             None,
-            (slopes.last("idle.opening_cpu_ms"), "ms measured at 9,700"),
+            (slopes.value_at_largest("idle.opening_cpu_ms"), "ms measured at 9,700"),
             (MS_PER_S, "ms"),
         ),
         divide(
             "draining 9,700 at a planned stop",
             "s",
             10,
-            (slopes.last("idle.drain_ms"), "ms measured at 9,700"),
+            (slopes.value_at_largest("idle.drain_ms"), "ms measured at 9,700"),
             (MS_PER_S, "ms"),
         ),
     ]
 
 
-def work_out_statements(slopes: Slopes) -> Role:
+def estimate_statements(slopes: Slopes) -> RoleFigures:
     """Return the cost of a daemon's statements."""
     count = letter.STATEMENTS_PER_S / letter.DAEMONS
     rate = (count, "statements/s")
@@ -50,7 +50,7 @@
     write = slopes.slope("paths.forwarding_write_ms") + slopes.slope(
         "paths.forwarded_write_ms"
     )
-    front = slopes.at("active.us", 64) / MS_PER_S
+    front = slopes.value_at("active.us", 64) / MS_PER_S
     cores = count * read / MS_PER_S
     return [
         add(
@@ -94,12 +94,12 @@
             CPU,
             None,
             rate,
-            (slopes.last("routing.request_us") / MS_PER_S, "ms"),
+            (slopes.value_at_largest("routing.request_us") / MS_PER_S, "ms"),
         ),
     ]
 
 
-def work_out_slots(slopes: Slopes) -> Role:
+def estimate_slots(slopes: Slopes) -> RoleFigures:
     """Return the cost of slots and of connections to the instances."""
     rate = letter.STATEMENTS_PER_S / letter.DAEMONS
     return [
@@ -108,7 +108,7 @@
             CPU,
             None,
             (rate, "statements/s"),
-            (slopes.at("slots.us", 16) / MS_PER_S, "ms with 16 contending"),
+            (slopes.value_at("slots.us", 16) / MS_PER_S, "ms with 16 contending"),
         ),
         divide(
             "statements of a group",
--- a/lab/estimates.py
+++ b/lab/estimates.py
@@ -1,21 +1,22 @@
-"""The terms of the estimates, and what the letter's size means for one daemon."""
+"""Constants of the estimates, and what the required scale means for one daemon."""
 
 from lab import letter
 from lab.arithmetic import Figure, Slopes, divide, multiply
 
 MS_PER_S = 1000
 KB_PER_MB = 1024
-# Headers of TCP and IP on each message, with time stamps.
+# TCP and IP headers of each message, with TCP timestamps.
 HEADER_BYTES = 52
-# Today's periods, in each second.
+# Today's rates per second, and today's waits.
 BEATS_PER_S = 5
-TENDS_PER_S = 5
+GROUP_CHECKS_PER_S = 5
 STATUS_WAIT_MS = 150
 STATUS_MARGIN_MS = 250
 CHECKS_PER_S = 40
-# Two watches ask each 200 ms, the janitor once a second.
+# How often a daemon checks whether it's its turn: two watches every 200 ms each, and
+# the janitor once a second.
 TURNS_PER_S = 11
-# What the proposed mechanisms would use.
+# Parameters of the proposed mechanisms.
 PROCESS_LOAD = 0.6
 LONG_POLL_MS = 5000
 PART_GROUPS = 4
@@ -23,7 +24,8 @@
 REDIAL_MS = 300
 GRAPH_DEGREE = 6
 EVENT_BYTES = 76
-# A version with its part's number, and what proves it: digests and two signatures.
+# The announcement of a version with its part's number, and what proves a part: digests
+# and two signatures.
 ANNOUNCED_BYTES = 20
 SIGNED_BYTES = 250
 EVENTS_PER_RESTART = 2
@@ -40,11 +42,11 @@
 CHANGES = (CHANGES_PER_S, "roster changes/s")
 VERSIONS = (VERSIONS_PER_S, "versions/s")
 
-Role = list[Figure]
+RoleFigures = list[Figure]
 
 
-def work_out_sizes() -> Role:
-    """Return what the letter's size means for one daemon."""
+def estimate_sizes() -> RoleFigures:
+    """Return what the required scale means for one daemon."""
     daemons = (letter.DAEMONS, "daemons")
     changed = letter.VM_FAILURES_PER_DAY + letter.RESTARTS_PER_DAY
     return [
@@ -90,13 +92,13 @@
     ]
 
 
-def work_out_base(slopes: Slopes) -> Role:
-    """Return the memory of a daemon, and what is left for the roles."""
+def estimate_base(slopes: Slopes) -> RoleFigures:
+    """Return the memory of an idle daemon."""
     return [
         multiply(
             "a daemon that has nothing to do",
             "MiB",
             letter.CONTROL_MEMORY_MB,
-            (slopes.at("fleet.memory_kb", 3) / KB_PER_MB, "MiB measured"),
+            (slopes.value_at("fleet.memory_kb", 3) / KB_PER_MB, "MiB measured"),
         )
     ]
--- a/lab/group_estimates.py
+++ b/lab/group_estimates.py
@@ -1,4 +1,4 @@
-"""What watching groups, promotion and rate shares take at the letter's size."""
+"""Estimates the cost of watching groups, promotion and rates at the required scale."""
 
 from lab import letter
 from lab.arithmetic import Slopes, add, divide, multiply
@@ -8,6 +8,7 @@
     CHANGES_PER_S,
     CHECKS_PER_S,
     CPU,
+    GROUP_CHECKS_PER_S,
     HEADER_BYTES,
     KB_PER_MB,
     LONG_POLL_MS,
@@ -16,22 +17,21 @@
     STATUS_MARGIN_MS,
     STATUS_WAIT_MS,
     SUSPECT_MS,
-    TENDS_PER_S,
-    Role,
+    RoleFigures,
 )
 
 
-def work_out_watching(slopes: Slopes) -> Role:
+def estimate_watching(slopes: Slopes) -> RoleFigures:
     """Return the cost of watching a daemon's groups."""
     groups = (letter.GROUPS / letter.DAEMONS, "groups")
     messages = slopes.slope("watching.messages_per_s")
     payload = slopes.slope("watching.bytes_per_s")
     headers = 2 * messages * HEADER_BYTES
-    longer = STATUS_WAIT_MS / LONG_POLL_MS
+    long_poll_ratio = STATUS_WAIT_MS / LONG_POLL_MS
     cpu = slopes.slope("watching.cpu_ms_per_s")
     tending = slopes.slope("tending.us") / MS_PER_S
-    ranking = slopes.last("ranking.us") / 1e6
-    hash_ms = slopes.last("ranking.us") / letter.DAEMONS / MS_PER_S
+    ranking = slopes.value_at_largest("ranking.us") / 1e6
+    hash_ms = slopes.value_at_largest("ranking.us") / letter.DAEMONS / MS_PER_S
     served = letter.GROUPS / letter.DAEMONS * 4
     return [
         multiply(
@@ -58,7 +58,7 @@
             letter.CONTROL_BYTES,
             groups,
             (payload + headers, "B/s a group"),
-            (longer, "as many polls"),
+            (long_poll_ratio, "as many polls"),
         ),
         multiply(
             "going over all groups for own ones",
@@ -66,7 +66,7 @@
             letter.CONTROL_CPU_MS,
             (letter.GROUPS, "groups"),
             (tending, "ms"),
-            (TENDS_PER_S, "times/s"),
+            (GROUP_CHECKS_PER_S, "times/s"),
         ),
         multiply(
             "ranking all groups anew after a change",
@@ -95,9 +95,9 @@
     ]
 
 
-def work_out_promotion(slopes: Slopes) -> Role:
-    """Return how long a change of primary takes, and what it costs."""
-    promotion = slopes.at("promotion.ms", letter.INSTANCES)
+def estimate_promotion(slopes: Slopes) -> RoleFigures:
+    """Return the duration and the cost of a primary change."""
+    promotion = slopes.value_at("promotion.ms", letter.INSTANCES)
     return [
         add(
             "a change of primary today",
@@ -123,7 +123,7 @@
             letter.CONTROL_CPU_MS,
             (letter.PRIMARY_CHANGES_PER_DAY / letter.DAY_S, "changes/s in the fleet"),
             (
-                slopes.at("promotion.cpu_ms", letter.INSTANCES),
+                slopes.value_at("promotion.cpu_ms", letter.INSTANCES),
                 "ms, instances' part too",
             ),
         ),
@@ -137,16 +137,16 @@
     ]
 
 
-def work_out_shares(slopes: Slopes) -> Role:
+def estimate_shares(slopes: Slopes) -> RoleFigures:
     """Return the cost of the workspaces' rates."""
     accounts = (letter.WORKSPACES, "workspaces")
     memory = slopes.slope("accounts.memory_kb") / KB_PER_MB
     held = letter.WORKSPACES * letter.HOLDERS / letter.DAEMONS
-    split = slopes.last("splits.us") / MS_PER_S
+    split = slopes.value_at_largest("splits.us") / MS_PER_S
     loan = slopes.slope("calls.loan_ms")
     loan_bytes = slopes.slope("calls.loan_bytes") + 2 * HEADER_BYTES
     statements = letter.STATEMENTS_PER_S / letter.DAEMONS
-    # An account is split over the members when the roster changes and again when the
+    # An account is split among the members when the roster changes, and again when the
     # change is confirmed.
     splits = 2 * CHANGES_PER_S
     return [
--- a/lab/letter.py
+++ b/lab/letter.py
@@ -1,4 +1,4 @@
-"""The size to design for, and the budgets, as the users' letter gives them."""
+"""The scale to design for, and the budgets, from the users' letter of requirements."""
 
 DAEMONS = 3_100
 GROUPS = 23_000
@@ -14,7 +14,7 @@
 RESTARTS_PER_DAY = 3_100
 DAY_S = 86_400
 
-# For control, each daemon and second: 1.2% of a core, 128 MB, 5 KB.
+# Budgets of control for each daemon: 1.2% of a core, 128 MB, and 5 KB a second.
 CONTROL_CPU_MS = 12.0
 CONTROL_MEMORY_MB = 128.0
 CONTROL_BYTES = 5_000.0
@@ -23,8 +23,8 @@
 PLATFORM_WRITES_PER_S = 300.0
 PLATFORM_VALUE_MB = 1.048576
 
-# Not in the letter: today both users have 3 instances a group, and 8 workspaces before
-# 3 groups.
+# Not from the letter: today both users have 3 instances per group, and 8 workspaces for
+# every 3 groups.
 INSTANCES = 3
 WORKSPACES = GROUPS * 8 // 3
 HOLDERS = 16
--- a/lab/pages.py
+++ b/lab/pages.py
@@ -1,4 +1,4 @@
-"""Shows the figures of a benchmark: tables, plots, and the page of measurements."""
+"""Writes the figures of a benchmark as tables, plots, and the measurements page."""
 
 import json
 from pathlib import Path
@@ -11,7 +11,7 @@
 from lab.figures import LOWER, MEASURES, Measure, order_measures
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402  The choice of the back end comes first.
+from matplotlib import pyplot  # noqa: E402  The backend must be chosen first.
 
 RESULT = Path("docs/measurements/bench.json")
 PAGE = Path("docs/MEASUREMENTS.md")
@@ -71,7 +71,7 @@
 
 
 def format_figure(measure: Measure, value: float | None) -> str:
-    """Return a figure with its unit; a dash where there is none."""
+    """Return a figure with its unit, or a dash if there is none."""
     if value is None:
         return "-"
     if measure.unit == "share":
@@ -89,11 +89,11 @@
         return ""
     if measure.target == 0:
         return "0"
-    word = "under" if measure.better == LOWER else "at least"
-    return f"{word} {format_figure(measure, measure.target)}"
+    bound = "under" if measure.better == LOWER else "at least"
+    return f"{bound} {format_figure(measure, measure.target)}"
 
 
-def is_missed(measure: Measure, value: float | None) -> bool:
+def misses_target(measure: Measure, value: float | None) -> bool:
     """Return whether a figure misses its target."""
     if measure.target is None or value is None:
         return False
@@ -110,7 +110,7 @@
             results[policy]["figures"].get(measure.name) for policy in ("fair", "naive")
         )
         verdict = format_target(measure)
-        if is_missed(measure, fair):
+        if misses_target(measure, fair):
             verdict += " (missed)"
         cells = [format_figure(measure, fair), format_figure(measure, naive)]
         rows.append([measure.title, *cells, verdict])
@@ -118,7 +118,7 @@
 
 
 def print_tables(run: dict[str, Any], console: Console | None = None) -> None:
-    """Print a table in which each deployment has its part."""
+    """Print a table with a section for each deployment."""
     table = Table(title="Each measure beside its baseline")
     for title in ("measure", "fair", "naive (baseline)", "target"):
         table.add_column(title, justify="left" if title == "measure" else "right")
@@ -131,14 +131,14 @@
 
 
 def draw_plots(run: dict[str, Any], folder: Path) -> None:
-    """Draw one plot for each measure into `folder`."""
+    """Draw all plots into `folder`."""
     for name, measures in PLOTS.items():
-        wanted = [measure for measure in MEASURES if measure.name in measures]
-        draw_plot(run, wanted, folder / f"bench-{name}.png")
+        shown = [measure for measure in MEASURES if measure.name in measures]
+        draw_plot(run, shown, folder / f"bench-{name}.png")
 
 
 def draw_plot(run: dict[str, Any], measures: list[Measure], path: Path) -> None:
-    """Draw bars of some measures, the policies side by side."""
+    """Draw bars of the measures, with the policies side by side."""
     labels = []
     bars: dict[str, list[float]] = {policy: [] for policy in COLOURS}
     for deployment, results in run["deployments"].items():
@@ -148,9 +148,13 @@
                 values.append(results[policy]["figures"].get(measure.name, 0))
     figure, axes = pyplot.subplots(figsize=FIGURE_SIZE)
     for number, (policy, values) in enumerate(bars.items()):
-        places = [place + (number - 0.5) * BAR_WIDTH for place in range(len(labels))]
-        drawn = axes.bar(places, values, BAR_WIDTH, label=policy, color=COLOURS[policy])
-        axes.bar_label(drawn, fmt="{:,.4g}", fontsize=7)
+        positions = [
+            position + (number - 0.5) * BAR_WIDTH for position in range(len(labels))
+        ]
+        container = axes.bar(
+            positions, values, BAR_WIDTH, label=policy, color=COLOURS[policy]
+        )
+        axes.bar_label(container, fmt="{:,.4g}", fontsize=7)
     for target in {measure.target for measure in measures} - {None}:
         axes.axhline(target, color="grey", linestyle="--", linewidth=1)
     axes.set_xticks(range(len(labels)), labels, fontsize=7)
@@ -163,18 +167,18 @@
 
 
 def write_page(run: dict[str, Any], path: Path) -> None:
-    """Write the page of measurements from the figures of a run."""
-    parts = [PAGE_HEAD, write_origin(run)]
+    """Write the measurements page from the figures of a run."""
+    sections = [PAGE_HEAD, format_origin(run)]
     for deployment, results in run["deployments"].items():
-        parts.append(write_section(deployment, results))
-    parts.append(PAGE_METHOD)
-    parts.append("## Plots\n")
-    parts += [f"![{name}](measurements/bench-{name}.png)\n" for name in PLOTS]
-    path.write_text("\n".join(parts))
+        sections.append(format_section(deployment, results))
+    sections.append(PAGE_METHOD)
+    sections.append("## Plots\n")
+    sections += [f"![{name}](measurements/bench-{name}.png)\n" for name in PLOTS]
+    path.write_text("\n".join(sections))
 
 
-def write_origin(run: dict[str, Any]) -> str:
-    """Return when, on what and from which commit the run was made."""
+def format_origin(run: dict[str, Any]) -> str:
+    """Return the date, the commit and the machine of the run."""
     machine = run["machine"]
     return (
         f"Run of {run['date']}, commit `{run['commit']}`, seed {run['seed']}, on "
@@ -183,14 +187,14 @@
     )
 
 
-def list_broken(result: dict[str, Any]) -> str:
+def format_broken(result: dict[str, Any]) -> str:
     """Return how often each kind of promise was broken, in words."""
     kinds = result["violations"].items()
     return ", ".join(f"{kind} {count}" for kind, count in kinds) or "none"
 
 
-def write_section(deployment: str, results: dict[str, Any]) -> str:
-    """Return the part of the page about one deployment."""
+def format_section(deployment: str, results: dict[str, Any]) -> str:
+    """Return the section of the page about one deployment."""
     lines = [f"## {NAMES[deployment]}", ""]
     lines += ["| measure | fair | naive | target |", "|---|---:|---:|---|"]
     lines += [f"| {' | '.join(row)} |" for row in list_rows(deployment, results)]
@@ -200,11 +204,15 @@
     lines += ["", f"Gaps under `fair`, in milliseconds: {gaps}.", ""]
     lines += ["| workspace | due | served | share | p99 |", "|---|---:|---:|---:|---:|"]
     lines += [
-        f"| {one['workspace']} | {one['due']} | {one['served']} | {one['share']:.1%} "
-        f"| {one['p99_ms']:.0f} ms |"
-        for one in results["fair"]["services"]
+        f"| {service['workspace']} | {service['due']} | {service['served']} "
+        f"| {service['share']:.1%} | {service['p99_ms']:.0f} ms |"
+        for service in results["fair"]["services"]
+    ]
+    lines += [
+        "",
+        f"Promises that `naive` broke: {format_broken(results['naive'])}.",
+        "",
     ]
-    lines += ["", f"Promises that `naive` broke: {list_broken(results['naive'])}.", ""]
     return "\n".join(lines)
 
 
@@ -215,5 +223,5 @@
 
 
 if __name__ == "__main__":
-    # Writes plots and page anew from the kept result, without another run.
+    # Writes the plots and the page from the saved result, without another run.
     write_pages(json.loads(RESULT.read_text()), RESULT.parent)
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -1,7 +1,7 @@
-"""Measures the slopes, keeps them in capacity.json and rewrites the page's tables.
+"""Measures how costs grow with size, and writes capacity.json and the page's tables.
 
-`python -m lab.slopes` measures all roles, `python -m lab.slopes beats idle` only some,
-`python -m lab.slopes --tables` none: it rewrites the tables from the file.
+`python -m lab.slopes` measures all roles, and `python -m lab.slopes beats idle` only
+some. `python -m lab.slopes --tables` only rewrites the tables from the file.
 """
 
 import contextlib
@@ -27,12 +27,12 @@
 RESULTS = ROOT / "docs/measurements/capacity.json"
 PAGE = ROOT / "docs/CAPACITY.md"
 WORKER_TIMEOUT_S = 60
-START_MS = 15_000
-SIGNIFICANT = 4
+START_TIMEOUT_MS = 15_000
+SIGNIFICANT_DIGITS = 4
 
 
 class Experiment(NamedTuple):
-    """A role that is measured at several sizes; `size` says what they count."""
+    """A role that is measured at several sizes; `size` names what the sizes count."""
 
     role: str
     size: str
@@ -63,9 +63,9 @@
 
 @contextlib.contextmanager
 def run_instances() -> Iterator[list[Address]]:
-    """Give the addresses of three instances of a group, each a process."""
+    """Run three instances of a group, each a process, and yield their addresses."""
     runtime = Runtime(task_limit=4)
-    addresses = [held.address for held in reserve_addresses(runtime, 3)]
+    addresses = [reservation.address for reservation in reserve_addresses(runtime, 3)]
     with tempfile.TemporaryDirectory() as folder:
         processes = []
         role = ["--primary-term", "1"]
@@ -80,7 +80,7 @@
             role = ["--follow", str(addresses[0])]
         try:
             for process, address in zip(processes, addresses, strict=True):
-                wait_until_listening(runtime, process, address, START_MS)
+                wait_until_listening(runtime, process, address, START_TIMEOUT_MS)
             yield addresses
         finally:
             for process in processes:
@@ -88,18 +88,18 @@
 
 
 def ask_worker(role: str, size: int, addresses: list[Address]) -> dict[str, float]:
-    """Return what a process of its own measures for the role at that size."""
+    """Measure the role at one size in a process of its own, and return its figures."""
     command = [sys.executable, "-m", "lab.worker", role, str(size)]
-    done = subprocess.run(
+    result = subprocess.run(
         [*command, *map(str, addresses)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=WORKER_TIMEOUT_S,
     )
-    if done.returncode:
-        raise click.ClickException(f"{role} {size}: {done.stderr[-800:]}")
-    return json.loads(done.stdout.splitlines()[-1])
+    if result.returncode:
+        raise click.ClickException(f"{role} {size}: {result.stderr[-800:]}")
+    return json.loads(result.stdout.splitlines()[-1])
 
 
 def measure_sizes(experiment: Experiment) -> dict[int, dict[str, float]]:
@@ -117,16 +117,16 @@
 
 def round_number(value: float) -> float:
     """Return `value` with four significant digits."""
-    return float(f"{value:.{SIGNIFICANT}g}")
+    return float(f"{value:.{SIGNIFICANT_DIGITS}g}")
 
 
 def fit_slopes(
-    experiment: Experiment, found: dict[int, dict[str, float]]
+    experiment: Experiment, results: dict[int, dict[str, float]]
 ) -> dict[str, Any]:
-    """Return the slope of each metric of a role, with its points and command."""
+    """Return a line through the points of each metric, with its points and command."""
     slopes = {}
-    for metric in next(iter(found.values())):
-        points = [(size, round_number(found[size][metric])) for size in found]
+    for metric in next(iter(results.values())):
+        points = [(size, round_number(results[size][metric])) for size in results]
         line = fit_line(points)
         slopes[f"{experiment.role}.{metric}"] = {
             "size": experiment.size,
@@ -139,7 +139,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return what the figures were measured on."""
+    """Return the machine on which the figures are measured."""
     memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     return {
         "cores": os.cpu_count(),
@@ -149,20 +149,22 @@
 
 
 def read_results() -> dict[str, Any]:
-    """Return the file's content; an empty one when there is none."""
+    """Return the content of the results file, or empty results if there is none."""
     if not RESULTS.exists():
         return {"machine": {}, "slopes": {}}
     return json.loads(RESULTS.read_text())
 
 
 def save_results(results: dict[str, Any]) -> None:
-    """Write the file."""
+    """Write the results file."""
     RESULTS.parent.mkdir(exist_ok=True)
     RESULTS.write_text(json.dumps(results, indent=1) + "\n")
 
 
 @click.command()
-@click.option("--tables", is_flag=True, help="Measure nothing; rewrite the tables.")
+@click.option(
+    "--tables", is_flag=True, help="Only rewrite the tables; measure nothing."
+)
 @click.argument("roles", nargs=-1)
 def main(tables: bool, roles: tuple[str, ...]) -> None:
     """Measure ROLES, or all, and rewrite the tables of docs/CAPACITY.md."""
@@ -175,9 +177,9 @@
         if roles and experiment.role not in roles:
             continue
         began_ms = clock.now_ms()
-        found = measure_sizes(experiment)
+        sizes = measure_sizes(experiment)
         results["machine"] = describe_machine()
-        results["slopes"].update(fit_slopes(experiment, found))
+        results["slopes"].update(fit_slopes(experiment, sizes))
         save_results(results)
         click.echo(f"{experiment.role}: {(clock.now_ms() - began_ms) / 1000:.1f} s")
     PAGE.write_text(rewrite_page(PAGE.read_text(), results))
--- a/lab/spread_estimates.py
+++ b/lab/spread_estimates.py
@@ -1,4 +1,7 @@
-"""What configuration, membership, roster and platform take at that size."""
+"""Estimates the cost of configuration, membership, roster and platform calls.
+
+All estimates are for the required scale.
+"""
 
 from lab import letter
 from lab.arithmetic import Slopes, add, divide, multiply
@@ -21,17 +24,17 @@
     TURNS_PER_S,
     VERSIONS,
     VERSIONS_PER_S,
-    Role,
+    RoleFigures,
 )
 
 
-def work_out_configuration(slopes: Slopes) -> Role:
+def estimate_configuration(slopes: Slopes) -> RoleFigures:
     """Return the cost of the configuration's versions."""
     size = slopes.slope("bundle.bytes")
     whole = size * letter.GROUPS
     accept = slopes.slope("bundle.accept_ms")
     degree = GRAPH_DEGREE
-    told = ANNOUNCED_BYTES + HEADER_BYTES
+    announcement = ANNOUNCED_BYTES + HEADER_BYTES
     part = size * PART_GROUPS + SIGNED_BYTES + 2 * HEADER_BYTES
     return [
         multiply(
@@ -76,7 +79,7 @@
             letter.CONTROL_BYTES,
             VERSIONS,
             (2 * degree, "messages, in and out"),
-            (told, "B"),
+            (announcement, "B"),
         ),
         multiply(
             "in parts: bytes of the changed part",
@@ -98,18 +101,21 @@
             "in force after a flood",
             "ms",
             letter.VERSION_MS,
-            (slopes.last("graph.hops"), "hops"),
-            (2 * slopes.last("fleet.version_ms"), "ms, twice 12 daemons' time"),
+            (slopes.value_at_largest("graph.hops"), "hops"),
+            (
+                2 * slopes.value_at_largest("fleet.version_ms"),
+                "ms, twice 12 daemons' time",
+            ),
         ),
     ]
 
 
-def work_out_membership(slopes: Slopes) -> Role:
+def estimate_membership(slopes: Slopes) -> RoleFigures:
     """Return the cost of heartbeats."""
-    beat_bytes = slopes.last("beats.bytes")
-    make = slopes.last("beats.make_us") / MS_PER_S
-    take = slopes.last("beats.take_us") / MS_PER_S
-    empty = slopes.slope("calls.beat_ms")
+    beat_bytes = slopes.value_at_largest("beats.bytes")
+    write_ms = slopes.value_at_largest("beats.make_us") / MS_PER_S
+    read_ms = slopes.value_at_largest("beats.take_us") / MS_PER_S
+    empty_ms = slopes.slope("calls.beat_ms")
     empty_bytes = slopes.slope("calls.beat_bytes") + 2 * HEADER_BYTES
     peers = (letter.DAEMONS - 1, "peers")
     return [
@@ -128,7 +134,7 @@
             letter.CONTROL_CPU_MS,
             peers,
             (BEATS_PER_S, "own and their exchanges/s"),
-            (2 * make + 2 * take, "ms to write and read both"),
+            (2 * write_ms + 2 * read_ms, "ms to write and read both"),
         ),
         multiply(
             "memory of views and roster",
@@ -149,7 +155,7 @@
             CPU,
             letter.CONTROL_CPU_MS,
             (GRAPH_DEGREE, "exchanges/s"),
-            (empty / 2, "ms, one of two ends"),
+            (empty_ms / 2, "ms, one of two ends"),
         ),
         multiply(
             "a graph: bytes of deaths, joins and leaves",
@@ -178,9 +184,9 @@
     ]
 
 
-def work_out_roster(slopes: Slopes) -> Role:
+def estimate_roster(slopes: Slopes) -> RoleFigures:
     """Return the cost of the roster."""
-    size = slopes.last("roster.bytes")
+    size = slopes.value_at_largest("roster.bytes")
     return [
         multiply(
             "the roster",
@@ -200,7 +206,7 @@
             "processor to read it",
             CPU,
             letter.CONTROL_CPU_MS,
-            (slopes.last("roster.take_us") / MS_PER_S, "ms"),
+            (slopes.value_at_largest("roster.take_us") / MS_PER_S, "ms"),
             CHANGES,
         ),
         divide(
@@ -221,11 +227,11 @@
     ]
 
 
-def work_out_platform(slopes: Slopes) -> Role:
-    """Return the calls at the platform from the whole fleet."""
-    watches = slopes.last("fleet.platform_calls_per_s")
+def estimate_platform(slopes: Slopes) -> RoleFigures:
+    """Return the calls of the whole fleet to the platform."""
+    watches = slopes.value_at_largest("fleet.platform_calls_per_s")
     changed = letter.VM_FAILURES_PER_DAY + letter.RESTARTS_PER_DAY
-    back = letter.DAEMONS / letter.FAILURE_DOMAINS
+    returning = letter.DAEMONS / letter.FAILURE_DOMAINS
     return [
         add(
             "calls",
@@ -258,20 +264,20 @@
             CPU,
             letter.CONTROL_CPU_MS,
             (TURNS_PER_S, "times/s"),
-            (slopes.last("ranking.us") / MS_PER_S, "ms for 3,100 members"),
+            (slopes.value_at_largest("ranking.us") / MS_PER_S, "ms for 3,100 members"),
         ),
         multiply(
             "a domain comes back: puts that race on the roster",
             "puts",
             None,
-            (back, "daemons"),
-            (back / 2, "puts each at most, on average"),
+            (returning, "daemons"),
+            (returning / 2, "puts each at most, on average"),
         ),
         divide(
             "time for that at the platform's rate",
             "s",
             None,
-            (back * back / 2, "puts"),
+            (returning * returning / 2, "puts"),
             (letter.PLATFORM_WRITES_PER_S, "/s"),
         ),
     ]
--- a/lab/tables.py
+++ b/lab/tables.py
@@ -11,57 +11,57 @@
     group_estimates,
     spread_estimates,
 )
-from lab.arithmetic import Figure, Slopes, show_number
+from lab.arithmetic import Figure, Slopes, format_number
 from lab.summary import list_rows
 
 MET = {True: "yes", False: "**no**", None: "-"}
 
 
 class Section(NamedTuple):
-    """A role's tables: the slopes shown, and what is worked out of them."""
+    """A section of the page: the roles whose slopes it shows, and its estimates."""
 
     roles: tuple[str, ...]
-    work_out: Callable[[Slopes], list[Figure]]
+    estimate: Callable[[Slopes], list[Figure]]
 
 
 SECTIONS = {
-    "connections": Section(("idle",), data_estimates.work_out_connections),
+    "connections": Section(("idle",), data_estimates.estimate_connections),
     "statements": Section(
-        ("active", "paths", "routing"), data_estimates.work_out_statements
+        ("active", "paths", "routing"), data_estimates.estimate_statements
     ),
     "watching": Section(
-        ("watching", "tending", "ranking"), group_estimates.work_out_watching
+        ("watching", "tending", "ranking"), group_estimates.estimate_watching
     ),
-    "promotion": Section(("promotion",), group_estimates.work_out_promotion),
+    "promotion": Section(("promotion",), group_estimates.estimate_promotion),
     "shares": Section(
-        ("accounts", "splits", "spending", "calls"), group_estimates.work_out_shares
+        ("accounts", "splits", "spending", "calls"), group_estimates.estimate_shares
     ),
-    "slots": Section(("slots",), data_estimates.work_out_slots),
-    "configuration": Section(("bundle",), spread_estimates.work_out_configuration),
-    "membership": Section(("beats", "graph"), spread_estimates.work_out_membership),
-    "roster": Section(("roster",), spread_estimates.work_out_roster),
-    "control": Section((), control_estimates.work_out_control),
-    "platform": Section(("fleet",), spread_estimates.work_out_platform),
+    "slots": Section(("slots",), data_estimates.estimate_slots),
+    "configuration": Section(("bundle",), spread_estimates.estimate_configuration),
+    "membership": Section(("beats", "graph"), spread_estimates.estimate_membership),
+    "roster": Section(("roster",), spread_estimates.estimate_roster),
+    "control": Section((), control_estimates.estimate_control),
+    "platform": Section(("fleet",), spread_estimates.estimate_platform),
 }
 
 
 def format_table(header: list[str], rows: list[list[str]]) -> str:
-    """Return a table in Markdown."""
-    lines = [header, ["---"] * len(header), *rows]
-    return "\n".join(f"| {' | '.join(line)} |" for line in lines)
+    """Return a Markdown table."""
+    all_rows = [header, ["---"] * len(header), *rows]
+    return "\n".join(f"| {' | '.join(row)} |" for row in all_rows)
 
 
 def format_slopes(slopes: Slopes, roles: tuple[str, ...]) -> str:
-    """Return the table of what was measured for these roles."""
+    """Return the table of the slopes that were measured for these roles."""
     rows = []
     for name in slopes.names():
         if name.partition(".")[0] not in roles:
             continue
         entry = slopes.entry(name)
         points = ", ".join(
-            f"{show_number(value)} at {size:,}" for size, value in entry["points"]
+            f"{format_number(value)} at {size:,}" for size, value in entry["points"]
         )
-        slope = f"{show_number(entry['slope'])} + {show_number(entry['base'])}"
+        slope = f"{format_number(entry['slope'])} + {format_number(entry['base'])}"
         rows.append(
             [f"`{name}`", entry["size"], points, slope, f"`{entry['command']}`"]
         )
@@ -70,11 +70,11 @@
 
 
 def format_figures(figures: list[Figure]) -> str:
-    """Return the table of what is worked out."""
+    """Return the table of computed figures."""
     rows = []
     for figure in figures:
-        limit = "-" if figure.limit is None else show_number(figure.limit)
-        result = f"{show_number(figure.value)} {figure.unit}".strip()
+        limit = "-" if figure.limit is None else format_number(figure.limit)
+        result = f"{format_number(figure.value)} {figure.unit}".strip()
         rows.append(
             [figure.what, figure.arithmetic, result, limit, MET[figure.is_met()]]
         )
@@ -83,7 +83,7 @@
 
 
 def format_summary(slopes: Slopes) -> str:
-    """Return the table at the head of the page."""
+    """Return the summary table at the top of the page."""
     header = [
         "role",
         "today's mechanism",
@@ -97,7 +97,7 @@
 
 
 def format_machine(results: dict[str, Any]) -> str:
-    """Return a line on what the figures were measured on."""
+    """Return a sentence about the machine on which the figures were measured."""
     machine = results["machine"]
     return (
         f"Measured on {machine['cores']} cores with {machine['memory_gb']} GB, "
@@ -106,15 +106,15 @@
 
 
 def build_blocks(results: dict[str, Any]) -> dict[str, str]:
-    """Return each table of the page by the name in its marker."""
+    """Return the tables of the page, keyed by the name in their markers."""
     slopes = Slopes(results)
     blocks = {
         "machine": format_machine(results),
         "summary": format_summary(slopes),
-        "sizes": format_figures(estimates.work_out_sizes()),
+        "sizes": format_figures(estimates.estimate_sizes()),
     }
     for name, section in SECTIONS.items():
-        figures = format_figures(section.work_out(slopes))
+        figures = format_figures(section.estimate(slopes))
         if section.roles:
             figures = f"{format_slopes(slopes, section.roles)}\n\n{figures}"
         blocks[name] = figures
@@ -122,15 +122,15 @@
 
 
 def rewrite_page(text: str, results: dict[str, Any]) -> str:
-    """Return the page with each block between its markers written anew.
+    """Return the page with the block between each pair of markers replaced.
 
-    Raise ValueError when a block has no markers: its figures would go unseen.
+    Raise ValueError if a block has no markers, since its figures wouldn't be shown.
     """
     for name, block in build_blocks(results).items():
         pattern = rf"(<!-- table {name} -->\n).*?(<!-- end {name} -->)"
         text, count = re.subn(
             pattern,
-            lambda found, block=block: f"{found[1]}{block}\n{found[2]}",
+            lambda match, block=block: f"{match[1]}{block}\n{match[2]}",
             text,
             flags=re.DOTALL,
         )
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -1,4 +1,4 @@
-"""Tests of the comparison of two benchmark runs, on made-up results."""
+"""Tests of the comparison of two benchmark runs, on invented results."""
 
 import json
 
@@ -27,7 +27,7 @@
         ("gap_worst_ms", 3000, 3700, 0),
         ("gap_worst_ms", 3000, 3800, 1),
         ("gap_worst_ms", 3800, 3000, 0),
-        # Three times as long, but below the floor.
+        # Three times as long, but the difference is below the floor.
         ("p50_ms", 2, 6, 0),
         ("rush_per_s", 1000, 850, 0),
         ("rush_per_s", 1000, 700, 1),
@@ -35,13 +35,15 @@
         ("broken_promises", 0, 1, 1),
         ("wrongful", 0, 1.5, 0),
         ("wrongful", 0, 2.5, 1),
-        # Of a share, what is missing counts.
+        # For a share, its complement is compared.
         ("worst_served", 0.99, 0.98, 0),
         ("worst_served", 0.99, 0.9, 1),
         ("replica_reads", 0.5, 0.99, 0),
     ],
 )
-def test_only_a_figure_worse_past_ratio_and_floor_fails(tmp_path, name, old, new, code):
+def test_a_figure_fails_only_if_worse_than_ratio_and_floor(
+    tmp_path, name, old, new, code
+):
     assert compare(tmp_path, {name: old}, {name: new})[1] == code
 
 
@@ -54,10 +56,10 @@
     assert compare(tmp_path, *runs, "--ratio", "0.5")[1] == 2
 
 
-def test_a_figure_that_the_new_run_lacks_fails(tmp_path):
-    """A phase of the benchmark broke, and its figure is gone.
+def test_a_figure_that_is_missing_in_the_new_run_fails(tmp_path):
+    """A phase of the benchmark broke, so its figure is missing in the new run.
 
-    Passing for "not worse", it would hide whatever broke it.
+    If that counted as "not worse", the comparison would hide the breakage.
     """
     old = {"gap_worst_ms": 1000, "p50_ms": 5}
     output, code = compare(tmp_path, old, {"p50_ms": 5})
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,8 +1,8 @@
-"""Tests of how the figures of a benchmark are worked out."""
+"""Tests of how the figures of a benchmark are computed."""
 
 from bronzerelay.codes import Code
 from lab.figures import count_wrongful, list_services, measure_worst_served
-from lab.pages import is_missed, list_rows, order_measures
+from lab.pages import list_rows, misses_target, order_measures
 from standins.rates import RateLimit
 from tests.record_builders import build_entry, build_refusal
 
@@ -10,7 +10,7 @@
 
 
 def build_record():
-    """Return a record: `small` is refused one of two, `big` gets two of four."""
+    """Return a record: `small` gets one of two requests, `big` two of four."""
     small = [build_entry(sent_ms=0), build_refusal(Code.RATE_EXCEEDED)]
     big = [build_entry(sent_ms=0)] * 2 + [build_refusal(Code.RATE_EXCEEDED)] * 2
     return [
@@ -19,9 +19,11 @@
     ]
 
 
-def test_what_is_due_ends_at_the_rate():
+def test_only_requests_inside_the_rate_are_due():
     services = list_services(build_record(), LIMITS)
-    assert [(one.workspace, one.due, one.served) for one in services] == [
+    assert [
+        (service.workspace, service.due, service.served) for service in services
+    ] == [
         ("big", 2, 2),
         ("small", 2, 1),
     ]
@@ -33,9 +35,9 @@
     assert count_wrongful(build_record(), LIMITS, left_out="small") == 0
 
 
-def test_the_table_begins_with_what_the_users_weigh_most():
+def test_the_table_starts_with_the_measures_that_matter_most():
     measures = order_measures("vianda")
-    assert {one.name for one in measures[:3]} == {
+    assert {measure.name for measure in measures[:3]} == {
         "worst_served",
         "gap_median_ms",
         "gap_worst_ms",
@@ -43,6 +45,6 @@
     figures = {"worst_served": 0.9, "gap_median_ms": 1.0}
     results = {policy: {"figures": figures} for policy in ("fair", "naive")}
     rows = {row[0]: row for row in list_rows("vianda", results)}
-    served = next(one for one in measures if one.name == "worst_served")
-    assert is_missed(served, 0.9) and not is_missed(served, 0.95)
+    served = next(measure for measure in measures if measure.name == "worst_served")
+    assert misses_target(served, 0.9) and not misses_target(served, 0.95)
     assert rows[served.title][1:] == ["90.0%", "90.0%", "at least 95.0% (missed)"]
