--- a/lab/bench.py
+++ b/lab/bench.py
@@ -44,7 +44,7 @@
 SHORT_LAG_MS = 5
 WRITE_SHARE = 0.1
 # Slightly below the rate, so that random arrivals hardly ever exceed it.
-INSIDE = 0.9
+INSIDE_FACTOR = 0.9
 NOISY_FACTOR = 5
 # In a rush, rates and load are this many times as high.
 RUSH_FACTOR = 3
@@ -103,8 +103,8 @@
     It gets its own load: otherwise its many waiting requests would occupy the workers
     that send the others' requests, which would then go out late.
     """
-    rates = {spec.name: spec.rate * INSIDE for spec in bench.layout.workspaces}
-    flood = {noisy: rates.pop(noisy) / INSIDE * NOISY_FACTOR}
+    rates = {spec.name: spec.rate * INSIDE_FACTOR for spec in bench.layout.workspaces}
+    flood = {noisy: rates.pop(noisy) / INSIDE_FACTOR * NOISY_FACTOR}
     return run_loads(bench, NOISY_MS, [rates, flood])
 
 
@@ -195,13 +195,13 @@
     """Run the loads one after the other, then the failures, then the checks."""
     limits = list(bench.limits)
     noisy = bench.layout.workspaces[0].name
-    steady = run_load(bench, STEADY_MS, INSIDE)
+    steady = run_load(bench, STEADY_MS, INSIDE_FACTOR)
     set_lag(bench.cluster, SHORT_LAG_MS)
-    roaming = run_load(bench, ROAMING_MS, INSIDE, spread="moving")
+    roaming = run_load(bench, ROAMING_MS, INSIDE_FACTOR, spread="moving")
     bench.cluster.runtime.sleep_ms(FILL_MS)
     flood = run_flood(bench, noisy)
     raise_rates(bench, RUSH_FACTOR)
-    rush = run_load(bench, RUSH_MS, RUSH_FACTOR * INSIDE)
+    rush = run_load(bench, RUSH_MS, RUSH_FACTOR * INSIDE_FACTOR)
     gaps = cause_failures(bench)
     violations = run_checks(
         bench.record, bench.cluster.collect_evidence(), bench.limits
--- a/lab/deployments.py
+++ b/lab/deployments.py
@@ -74,7 +74,10 @@
 
 
 def measure_fleet(size: int) -> dict[str, float]:
-    """Return the cost of each of `size` daemons without callers, and platform calls."""
+    """Return the cost of a daemon in a fleet of `size` daemons without callers.
+
+    `platform_calls_per_s` counts the calls of the whole fleet.
+    """
     runtime = Runtime(task_limit=64, seed=1)
     with Cluster(runtime, build_layout(size)) as cluster:
         wait_until_in_force(cluster, cluster.put_bundle())
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -33,7 +33,7 @@
 
 
 def cut_primary_off(scene: Scene) -> Undo:
-    """Cut the connections between the primary and its replicas, not the daemons."""
+    """Cut the primary from its replicas; the daemons still reach it."""
     name = scene.cluster.find_primary(scene.group)
     others = [
         f"{scene.group}-{number}"
--- a/lab/flood.py
+++ b/lab/flood.py
@@ -36,7 +36,7 @@
     with Cluster(runtime, layout) as cluster:
         cluster.wait_ready(cluster.put_bundle())
         runtime.clock.sleep_ms(WARM_UP_MS)
-        daemons = {name: cluster.addresses[name] for name in cluster.daemon_names}
+        daemons = {daemon: cluster.addresses[daemon] for daemon in cluster.daemon_names}
         settings = LoadSettings(
             rates=rates,
             groups=layout.groups,
--- a/lab/links.py
+++ b/lab/links.py
@@ -68,11 +68,11 @@
     count: int,
 ) -> tuple[float, float]:
     links.call(address, method, argument, CALL_TIMEOUT_MS)
-    started_ms = own_cpu_ms()
+    started_cpu_ms = own_cpu_ms()
     before = runtime.total_bytes()
     for _ in range(count):
         links.call(address, method, argument, CALL_TIMEOUT_MS)
-    return own_cpu_ms() - started_ms, runtime.total_bytes() - before
+    return own_cpu_ms() - started_cpu_ms, runtime.total_bytes() - before
 
 
 def measure_slots(size: int) -> dict[str, float]:
@@ -92,11 +92,11 @@
             runtime.clock.sleep_ms(HOLD_MS)
             slots.release("orders-1")
 
-    started_ms = own_cpu_ms()
+    started_cpu_ms = own_cpu_ms()
     tasks = [runtime.start(work, f"workspace-{number}") for number in range(size)]
     for task in tasks:
         task.result()
-    return {"us": (own_cpu_ms() - started_ms) * 1000 / (rounds * size)}
+    return {"us": (own_cpu_ms() - started_cpu_ms) * 1000 / (rounds * size)}
 
 
 class MeasuredFront:
@@ -154,12 +154,12 @@
         "memory_kb": resident_kb() - before_kb,
         "opening_cpu_ms": own_cpu_ms() - before_cpu_ms,
     }
-    started_ms = own_cpu_ms()
+    started_cpu_ms = own_cpu_ms()
     front.runtime.sleep_ms(IDLE_MS)
-    figures["cpu_ms_per_s"] = (own_cpu_ms() - started_ms) * 1000 / IDLE_MS
-    started_ms, began_ms = own_cpu_ms(), front.runtime.clock.now_ms()
+    figures["cpu_ms_per_s"] = (own_cpu_ms() - started_cpu_ms) * 1000 / IDLE_MS
+    started_cpu_ms, began_ms = own_cpu_ms(), front.runtime.clock.now_ms()
     front.front.drain(DRAIN_MS)
-    figures["drain_cpu_ms"] = own_cpu_ms() - started_ms
+    figures["drain_cpu_ms"] = own_cpu_ms() - started_cpu_ms
     figures["drain_ms"] = front.runtime.clock.now_ms() - began_ms
     callers.kill()
     return figures
@@ -171,11 +171,11 @@
     callers = front.start_callers(0, size)
     try:
         wait_until_ready(callers)
-        started_ms = own_cpu_ms()
+        started_cpu_ms = own_cpu_ms()
         callers.stdin.write("run\n")
         callers.stdin.flush()
         statements = int(callers.stdout.readline())
-        cpu_ms = own_cpu_ms() - started_ms
+        cpu_ms = own_cpu_ms() - started_cpu_ms
     finally:
         callers.communicate("end\n")
         front.close()
--- a/lab/members.py
+++ b/lab/members.py
@@ -206,9 +206,9 @@
 def measure_first_ranking(size: int) -> dict[str, float]:
     """Return the time to rank `size` members for a name that isn't cached yet."""
     names = name_members(size)
-    started_ms = own_cpu_ms()
+    started_cpu_ms = own_cpu_ms()
     calls = 0
-    while own_cpu_ms() - started_ms < 150:
+    while own_cpu_ms() - started_cpu_ms < 150:
         rank(f"group/{calls}", names)
         calls += 1
-    return {"us": (own_cpu_ms() - started_ms) * 1000 / calls}
+    return {"us": (own_cpu_ms() - started_cpu_ms) * 1000 / calls}
--- a/lab/records.py
+++ b/lab/records.py
@@ -62,9 +62,9 @@
     shares.set_workspaces(build_workspace_specs(SPLIT_ACCOUNTS))
     shares.confirm_workspaces()
     members = name_members(size)
-    started_ms = own_cpu_ms()
+    started_cpu_ms = own_cpu_ms()
     shares.set_members(members, confirmed=True)
-    return {"us": (own_cpu_ms() - started_ms) * 1000 / SPLIT_ACCOUNTS}
+    return {"us": (own_cpu_ms() - started_cpu_ms) * 1000 / SPLIT_ACCOUNTS}
 
 
 def measure_spending(size: int) -> dict[str, float]:
--- a/lab/slots.py
+++ b/lab/slots.py
@@ -43,7 +43,7 @@
     pools: list[ConnectionPool]
 
 
-def make_direct(runtime: Runtime, spec: EndpointSpec, tally: Tally) -> Send:
+def make_split_send(runtime: Runtime, spec: EndpointSpec, tally: Tally) -> Send:
     """Return a `Send` with which each daemon has its own share of the connections."""
     pools = [make_pool(runtime, spec, CONNECTIONS // DAEMONS) for _ in range(DAEMONS)]
 
@@ -65,7 +65,7 @@
     return send
 
 
-def make_serving(runtime: Runtime, spec: EndpointSpec, tally: Tally) -> Send:
+def make_queued_send(runtime: Runtime, spec: EndpointSpec, tally: Tally) -> Send:
     """Return a `Send` with which one daemon queues the reads of all daemons."""
     pool = make_pool(runtime, spec, CONNECTIONS // 2)
     tally.pools.append(pool)
@@ -95,7 +95,7 @@
     return ConnectionPool(runtime, spec, opener, limit)
 
 
-WAYS = {"each daemon a part": make_direct, "one serving daemon": make_serving}
+WAYS = {"each daemon a part": make_split_send, "one serving daemon": make_queued_send}
 
 
 def run_load(runtime: Runtime, way: str, spec: EndpointSpec, load: float) -> dict:
--- a/lab/watching.py
+++ b/lab/watching.py
@@ -51,12 +51,12 @@
     runtime.start(groups.maintain)
     runtime.sleep_ms(SETTLE_MS)
     memory_kb = resident_kb() - before_kb
-    started_ms, before = own_cpu_ms(), runtime.total_bytes()
+    started_cpu_ms, before = own_cpu_ms(), runtime.total_bytes()
     messages = runtime.counts["messages"]
     runtime.sleep_ms(WATCH_MS)
     watched_s = WATCH_MS / 1000
     figures = {
-        "cpu_ms_per_s": (own_cpu_ms() - started_ms) / watched_s,
+        "cpu_ms_per_s": (own_cpu_ms() - started_cpu_ms) / watched_s,
         "bytes_per_s": (runtime.total_bytes() - before) / watched_s,
         "messages_per_s": (runtime.counts["messages"] - messages) / watched_s,
         "memory_kb": memory_kb,
