--- a/lab/poolermutations.py
+++ b/lab/poolermutations.py
@@ -77,7 +77,7 @@
         PATH + "TestPrimaryChanges",
     ),
     Mutation(
-        "the configuration version never decreases in the pooler",
+        "the pooler never returns to an older configuration version",
         POOLER + "directory.py",
         "if config.version <= known:",
         "if False:",
